--- a/internal/connection/mesh/mesh.go
+++ b/internal/connection/mesh/mesh.go
@@ -151,7 +151,7 @@
 // owner but whom it calls back, and would be a third of all batches.
 func lazy(msg Message) bool {
 	rep, ok := msg.(Report)
-	return ok && rep.Report.Outcome == shard.Begun
+	return ok && rep.Report.Outcome == shard.Started
 }
 
 // Nudge has a beat sent to all at once, also where a session is just coming about: its first beats may have been written down
--- a/internal/connection/mesh/wire.go
+++ b/internal/connection/mesh/wire.go
@@ -45,7 +45,7 @@
 	for _, led := range bet.Leads {
 		msg.Leads = append(msg.Leads, &meshpb.Lead{
 			Shard: string(led.Shard), Token: led.Token,
-			Number: led.Load.Number, Free: led.Load.Free, Turnover: led.Load.Turnover, WaitsMicros: encodeWaits(led.Load.Waits),
+			Number: led.Load.Number, Free: led.Load.Free, Turnover: led.Load.ServiceRate, WaitsMicros: encodeWaits(led.Load.RankWaits),
 			LinkWindow: led.Load.LinkWindow, LinkBusy: led.Load.LinkBusy, Closed: led.Load.Closed,
 		})
 	}
@@ -72,11 +72,11 @@
 	}
 	for _, led := range msg.GetLeads() {
 		lod := shard.Load{
-			Number: led.GetNumber(), Free: led.GetFree(), Turnover: led.GetTurnover(),
+			Number: led.GetNumber(), Free: led.GetFree(), ServiceRate: led.GetTurnover(),
 			LinkWindow: led.GetLinkWindow(), LinkBusy: led.GetLinkBusy(), Closed: led.GetClosed(),
 		}
 		for rnk, num := range led.GetWaitsMicros()[:min(len(led.GetWaitsMicros()), shard.Ranks)] {
-			lod.Waits[rnk] = micros(num)
+			lod.RankWaits[rnk] = micros(num)
 		}
 		bet.Leads = append(bet.Leads, Lead{Shard: shard.Name(led.GetShard()), Token: led.GetToken(), Load: lod})
 	}
@@ -103,7 +103,7 @@
 	case Report:
 		dlv.Messages = append(dlv.Messages, &meshpb.Message{Body: &meshpb.Message_Report{Report: &meshpb.Report{
 			Task: msg.Report.Task, Token: msg.Report.Token, Outcome: int64(msg.Report.Outcome),
-			TookMicros: msg.Report.Took.Microseconds(), Server: string(msg.Report.Server), MayHaveRun: msg.Report.MayHaveRun, Hopeless: msg.Report.Hopeless,
+			TookMicros: msg.Report.Took.Microseconds(), Server: string(msg.Report.Server), MayHaveRun: msg.Report.MayHaveRun, Hopeless: msg.Report.TooLate,
 		}}})
 	case Missed:
 		name, life := splitID(msg.Instance)
@@ -126,11 +126,11 @@
 		Shard: string(msg.Shard), Token: msg.Token, Task: ord.Task, Service: ord.Service,
 		Payload:   uint32(idx),
 		Processor: ord.Processor, Memory: ord.Memory, Priority: int64(ord.Priority),
-		AgeMicros: now.Sub(ord.Arrived).Microseconds(), AimMicros: ord.Aim.Sub(now).Microseconds(), UsefulMicros: ord.Useful.Sub(now).Microseconds(),
-		ExpectedMicros: ord.Expected.Microseconds(),
-		Label:          ord.Label, Rack: ord.Rack, PerServer: int64(ord.PerServer), Step: ord.Step,
-		Bounce: ord.Bounce, Recall: ord.Recall, Followed: ord.Followed, At: string(ord.At), RunsMicros: ord.RunsFor.Microseconds(),
-		JobBegun: ord.JobBegun,
+		AgeMicros: now.Sub(ord.Arrived).Microseconds(), AimMicros: ord.Due.Sub(now).Microseconds(), UsefulMicros: ord.UsefulUntil.Sub(now).Microseconds(),
+		ExpectedMicros: ord.ExpectedRunTime.Microseconds(),
+		Label:          ord.Label, Rack: ord.Rack, PerServer: int64(ord.MaxPerServer), Step: ord.Step,
+		Bounce: ord.ReturnIfBusy, Recall: ord.Recall, Followed: ord.Reassigned, At: string(ord.LastServer), RunsMicros: ord.MayRunFor.Microseconds(),
+		JobBegun: ord.JobStarted,
 	}
 	for _, id := range ord.Avoid {
 		wir.Avoid = append(wir.Avoid, string(id))
@@ -159,7 +159,7 @@
 			rep := bdy.Report
 			msgs = append(msgs, Report{Report: shard.Report{
 				Task: rep.GetTask(), Token: rep.GetToken(), Outcome: shard.Outcome(rep.GetOutcome()),
-				Took: micros(rep.GetTookMicros()), Server: shard.ServerID(rep.GetServer()), MayHaveRun: rep.GetMayHaveRun(), Hopeless: rep.GetHopeless(),
+				Took: micros(rep.GetTookMicros()), Server: shard.ServerID(rep.GetServer()), MayHaveRun: rep.GetMayHaveRun(), TooLate: rep.GetHopeless(),
 			}})
 		case *meshpb.Message_Missed:
 			msgs = append(msgs, Missed{Instance: ID(bdy.Missed.GetName(), bdy.Missed.GetLife())})
@@ -174,11 +174,11 @@
 	ord := shard.Order{
 		Task: wir.GetTask(), Owner: from, Service: wir.GetService(), Payload: payload,
 		Processor: wir.GetProcessor(), Memory: wir.GetMemory(), Priority: int(wir.GetPriority()),
-		Arrived: now.Add(-micros(wir.GetAgeMicros())), Aim: now.Add(micros(wir.GetAimMicros())), Useful: now.Add(micros(wir.GetUsefulMicros())),
-		Expected: micros(wir.GetExpectedMicros()), Label: wir.GetLabel(), Rack: wir.GetRack(),
-		PerServer: int(wir.GetPerServer()), Step: wir.GetStep(),
-		Bounce: wir.GetBounce(), Recall: wir.GetRecall(), Followed: wir.GetFollowed(), JobBegun: wir.GetJobBegun(), At: shard.ServerID(wir.GetAt()),
-		RunsFor: micros(wir.GetRunsMicros()),
+		Arrived: now.Add(-micros(wir.GetAgeMicros())), Due: now.Add(micros(wir.GetAimMicros())), UsefulUntil: now.Add(micros(wir.GetUsefulMicros())),
+		ExpectedRunTime: micros(wir.GetExpectedMicros()), Label: wir.GetLabel(), Rack: wir.GetRack(),
+		MaxPerServer: int(wir.GetPerServer()), Step: wir.GetStep(),
+		ReturnIfBusy: wir.GetBounce(), Recall: wir.GetRecall(), Reassigned: wir.GetFollowed(), JobStarted: wir.GetJobBegun(), LastServer: shard.ServerID(wir.GetAt()),
+		MayRunFor: micros(wir.GetRunsMicros()),
 	}
 	for _, id := range wir.GetAvoid() {
 		ord.Avoid = append(ord.Avoid, shard.ServerID(id))
--- a/internal/process/daemon/carry.go
+++ b/internal/process/daemon/carry.go
@@ -38,12 +38,12 @@
 // logPlace tells where an order goes, unless it is believed to start there at once, which its start will tell.
 func (dmn *Daemon) logPlace(act *submission.Place) {
 	lvl := zerolog.InfoLevel
-	if act.Order.Bounce {
+	if act.Order.ReturnIfBusy {
 		lvl = zerolog.DebugLevel
 	}
 	dmn.log.WithLevel(lvl).Str("task", act.Order.Task).Str("shard", string(act.Target.Shard)).
 		Str("leader", string(act.Target.Leader)).Int64("token", act.Target.Token).Bool("recalled", act.Order.Recall).
-		Bool("followed", act.Order.Followed).Msg("order")
+		Bool("followed", act.Order.Reassigned).Msg("order")
 }
 
 func (dmn *Daemon) withdraw(act submission.Withdraw) {
@@ -84,23 +84,23 @@
 
 // shardDo carries out what a leader decided.
 func (dmn *Daemon) shardDo(name shard.Name, acts []shard.Action) {
-	patience := dmn.uplink.Patience()
+	patience := dmn.uplink.AnswerTimeout()
 	for _, act := range acts {
 		switch act := act.(type) {
-		case shard.Tell:
+		case shard.SendReport:
 			dmn.local = append(dmn.local, func(now time.Time) { dmn.tell(now, act.Owner, act.Report) })
-		case shard.PauseServer:
-			dmn.log.Info().Str("server", string(act.Server)).Float64("measure", act.Measure).Dur("pause", act.Pause).
+		case shard.QuarantineServer:
+			dmn.log.Info().Str("server", string(act.Server)).Float64("measure", act.Measure).Dur("pause", act.Duration).
 				Msg(act.Reason)
 		case shard.StartRun:
 			dmn.group.Go(func() error { return dmn.startRun(name, act, patience) })
 		case shard.StopRun:
 			dmn.group.Go(func() error { return dmn.stopRun(name, act, patience) })
-		case shard.Hold:
-			dmn.group.Go(func() error { return dmn.hold(name, act, act.Wait+patience) })
+		case shard.Renew:
+			dmn.group.Go(func() error { return dmn.hold(name, act, act.WaitForEnd+patience) })
 		}
 	}
-	if ldr := dmn.leaders[name]; ldr != nil && ldr.Lost() > 0 {
+	if ldr := dmn.leaders[name]; ldr != nil && ldr.LostServers() > 0 {
 		dmn.abandon(dmn.now(), name, true)
 	}
 }
@@ -119,15 +119,15 @@
 	defer cancel()
 	srv := platform.Server{ID: act.Server.ID, Address: act.Server.Address}
 	sent := dmn.now()
-	vdt, clk, err := dmn.prm.Servers.Start(ctx, srv, act.Run, act.Payload, act.Token, act.Until)
+	vdt, clk, err := dmn.prm.Servers.Start(ctx, srv, act.Run, act.Payload, act.Token, act.LeaseUntil)
 	now := dmn.enter()
 	defer dmn.exit(now)
 	dmn.cnt.start(vdt, now.Sub(sent))
-	dmn.uplink.Answered(act.Payload, now.Sub(sent), vdt)
+	dmn.uplink.HandleStartResult(act.Payload, now.Sub(sent), vdt)
 	dmn.log.Info().Err(err).Str("task", act.Run.Task).Int64("run", act.Run.Number).Str("server", string(act.Server.ID)).
 		Int64("token", act.Token).Dur("took", now.Sub(sent)).Stringer("verdict", vdt).Msg("start")
 	if ldr := dmn.leader(name, act.Token); ldr != nil {
-		dmn.shardDo(name, ldr.Started(now, act.Server.ID, act.Run, vdt, clk))
+		dmn.shardDo(name, ldr.HandleStartResult(now, act.Server.ID, act.Run, vdt, clk))
 	}
 	return nil
 }
@@ -143,20 +143,20 @@
 	dmn.log.Info().Err(err).Str("task", act.Run.Task).Int64("run", act.Run.Number).Str("server", string(act.Server.ID)).
 		Stringer("verdict", vdt).Msg("stop")
 	if ldr := dmn.leader(name, act.Token); ldr != nil {
-		dmn.shardDo(name, ldr.Stopped(now, act.Server.ID, act.Run, vdt))
+		dmn.shardDo(name, ldr.HandleStopResult(now, act.Server.ID, act.Run, vdt))
 	}
 	return nil
 }
 
-func (dmn *Daemon) hold(name shard.Name, act shard.Hold, patience time.Duration) error {
-	if act.Pause > 0 && !pause(dmn.ctx, act.Pause) {
+func (dmn *Daemon) hold(name shard.Name, act shard.Renew, patience time.Duration) error {
+	if act.Delay > 0 && !pause(dmn.ctx, act.Delay) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(dmn.ctx, patience)
 	defer cancel()
 	srv := platform.Server{ID: act.Server.ID, Address: act.Server.Address}
 	sent := dmn.now()
-	look, vdt, err := dmn.prm.Servers.Hold(ctx, srv, act.Token, act.Seen, act.Until, act.Wait)
+	look, vdt, err := dmn.prm.Servers.Hold(ctx, srv, act.Token, act.AckedSeq, act.LeaseUntil, act.WaitForEnd)
 	now := dmn.enter()
 	defer dmn.exit(now)
 	dmn.cnt.looks.Add(1)
@@ -164,7 +164,7 @@
 		dmn.log.Warn().Err(err).Str("server", string(act.Server.ID)).Stringer("verdict", vdt).Msg("look failed")
 	}
 	if ldr := dmn.leader(name, act.Token); ldr != nil {
-		dmn.shardDo(name, ldr.Looked(now, sent, act, look, vdt))
+		dmn.shardDo(name, ldr.HandleRenewResult(now, sent, act, look, vdt))
 	}
 	return nil
 }
--- a/internal/process/daemon/count.go
+++ b/internal/process/daemon/count.go
@@ -41,13 +41,13 @@
 	// admittedWithRoom, admittedToWait and notAdmitted are the decisions on submissions; waits are those expected of the second.
 	admittedWithRoom, admittedToWait, notAdmitted atomic.Int64
 	waits                                         histogram
-	starts                                        [shard.Overfull + 1]atomic.Int64
+	starts                                        [shard.OverCapacity + 1]atomic.Int64
 	answers                                       [submission.Unfinished + 1]atomic.Int64
 	startTimes, answerTimes                       histogram
 	traffic                                       traffic
 }
 
-func (cnt *counters) start(vdt shard.Verdict, took time.Duration) {
+func (cnt *counters) start(vdt shard.CallResult, took time.Duration) {
 	cnt.starts[vdt].Add(1)
 	cnt.startTimes.observe(took)
 }
@@ -93,7 +93,7 @@
 		line("held-up", cnt.heldUps.Load())
 		line("log-lines-dropped", cnt.logsDropped.Load())
 		for vdt := range cnt.starts {
-			line("starts-"+shard.Verdict(vdt).String(), cnt.starts[vdt].Load())
+			line("starts-"+shard.CallResult(vdt).String(), cnt.starts[vdt].Load())
 		}
 		for res := range cnt.answers {
 			line("answers-"+submission.Result(res).String(), cnt.answers[res].Load())
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -31,10 +31,10 @@
 // Servers is what a daemon needs of the backend servers.
 type Servers interface {
 	Start(ctx context.Context, srv platform.Server, run shard.RunID, payload string, token int64,
-		until time.Duration) (shard.Verdict, time.Duration, error)
-	Stop(ctx context.Context, srv platform.Server, run shard.RunID, token int64) (shard.Verdict, error)
+		until time.Duration) (shard.CallResult, time.Duration, error)
+	Stop(ctx context.Context, srv platform.Server, run shard.RunID, token int64) (shard.CallResult, error)
 	Hold(ctx context.Context, srv platform.Server, token, seen int64, until, wait time.Duration) (
-		shard.Look, shard.Verdict, error)
+		shard.RenewResult, shard.CallResult, error)
 }
 
 // Listeners are where a daemon is reached.
@@ -376,7 +376,7 @@
 	cfg := shard.DefaultConfig()
 	if most := dmn.prm.Settings.LongestLease; most > 0 {
 		cfg.Lease = min(cfg.Lease, most)
-		cfg.Wait = min(cfg.Wait, cfg.Lease/leaseRenewals)
+		cfg.RenewWait = min(cfg.RenewWait, cfg.Lease/leaseRenewals)
 	}
 	return cfg
 }
--- a/internal/process/daemon/decide.go
+++ b/internal/process/daemon/decide.go
@@ -17,11 +17,11 @@
 	dmn.mu.Lock()
 	now := dmn.now()
 	if dmn.mesh != nil {
-		dmn.uplink.SetPeers(dmn.mesh.Outstanding())
+		dmn.uplink.SetPeerBytes(dmn.mesh.Outstanding())
 	}
 	if !dmn.tickedAt.IsZero() && now.Sub(dmn.tickedAt) > starvedFor {
 		for _, ldr := range dmn.leaders {
-			ldr.HeldUp(now.Add(readTime))
+			ldr.HandlePause(now.Add(readTime))
 		}
 	}
 	if slp := dmn.prm.Suspended(); slp-dmn.suspended > frozenFor {
@@ -42,7 +42,7 @@
 func (dmn *Daemon) exit(now time.Time) {
 	dmn.carryOut(now)
 	if dmn.desk != nil && dmn.desk.HeldBytes() > 0 {
-		dmn.uplink.SetPeers(dmn.mesh.Outstanding())
+		dmn.uplink.SetPeerBytes(dmn.mesh.Outstanding())
 		dmn.deskDo(dmn.desk.Resume())
 		dmn.carryOut(now)
 	}
@@ -72,9 +72,9 @@
 	dmn.sharedAt = now
 	queued := dmn.desk.HeldBytes()
 	for _, ldr := range dmn.leaders {
-		queued += ldr.WaitingBytes()
+		queued += ldr.QueuedBytes()
 	}
-	dmn.uplink.SetQueued(queued)
+	dmn.uplink.SetQueuedBytes(queued)
 	for name, ldr := range dmn.leaders {
 		dmn.deskDo(dmn.desk.SetLoad(name, ldr.Load(now)))
 	}
@@ -145,7 +145,7 @@
 func (dmn *Daemon) leaveDisobeyed(now time.Time) {
 	for shd := range dmn.divided {
 		ldr := dmn.leaders[shd.Name]
-		if shd.Domain != dmn.prm.Settings.FailureDomain && ldr != nil && ldr.Disobeyed(now) {
+		if shd.Domain != dmn.prm.Settings.FailureDomain && ldr != nil && ldr.Unconfirmed(now) {
 			dmn.abandon(now, shd.Name, false)
 		}
 	}
@@ -210,7 +210,7 @@
 	dmn.openAt = now
 	clear(dmn.openWith)
 	for _, ldr := range dmn.leaders {
-		ldr.Owners(dmn.openWith)
+		ldr.AddOwners(dmn.openWith)
 	}
 	dmn.desk.Leaders(dmn.openWith)
 	dmn.updatePaces()
--- a/internal/process/daemon/entry.go
+++ b/internal/process/daemon/entry.go
@@ -95,9 +95,9 @@
 // logReport tells what came of an order. That it began is in its start's line, too.
 func (dmn *Daemon) logReport(from shard.InstanceID, rep shard.Report) {
 	lvl := zerolog.InfoLevel
-	if rep.Outcome == shard.Begun {
+	if rep.Outcome == shard.Started {
 		lvl = zerolog.DebugLevel
 	}
 	dmn.log.WithLevel(lvl).Str("task", rep.Task).Str("from", string(from)).Stringer("outcome", rep.Outcome).
-		Dur("took", rep.Took).Str("server", string(rep.Server)).Bool("hopeless", rep.Hopeless).Msg("report")
+		Dur("took", rep.Took).Str("server", string(rep.Server)).Bool("hopeless", rep.TooLate).Msg("report")
 }
--- a/internal/process/daemon/heard.go
+++ b/internal/process/daemon/heard.go
@@ -35,7 +35,7 @@
 	now := dmn.enter()
 	defer dmn.exit(now)
 	for _, ldr := range dmn.leaders {
-		ldr.OwnerHeard(from, at)
+		ldr.HandleOwnerHeard(from, at)
 	}
 	dmn.hear(now, from, bet)
 	for _, msg := range msgs {
@@ -137,7 +137,7 @@
 		return
 	}
 	dmn.noteOrder(ord.Owner)
-	dmn.shardDo(tgt.Shard, ldr.Place(now, ord))
+	dmn.shardDo(tgt.Shard, ldr.HandleOrder(now, ord))
 }
 
 // tell passes a report to the owner of an order.
@@ -164,7 +164,7 @@
 	dmn.passOn(id, cau)
 	dmn.council.Lost(now, id, cau.Silence())
 	for name, ldr := range dmn.leaders {
-		dmn.shardDo(name, ldr.OwnerLost(now, id))
+		dmn.shardDo(name, ldr.HandleOwnerLost(now, id))
 	}
 	dmn.deskDo(dmn.desk.InstanceLost(now, id))
 	dmn.updateLeaders()
--- a/internal/process/daemon/servers.go
+++ b/internal/process/daemon/servers.go
@@ -45,7 +45,7 @@
 // anyListShort reports whether a leader waits for a read that began after its take-over.
 func (dmn *Daemon) anyListShort() bool {
 	for _, ldr := range dmn.leaders {
-		if !ldr.Whole() {
+		if !ldr.ListingComplete() {
 			return true
 		}
 	}
--- a/internal/process/daemon/story_test.go
+++ b/internal/process/daemon/story_test.go
@@ -223,11 +223,11 @@
 	chk := is.NewRelaxed(t)
 	cfg := shard.DefaultConfig()
 	noticed := silentBeats*beatInterval + beatInterval/2 + mesh.ReadTime
-	over := noticed + cfg.StopPatience + cfg.Lapse()
+	over := noticed + cfg.StopTimeout + cfg.Expiry()
 	chk.True(over < proof)
 	chk.True(over < leastResend)
 	// An order that follows its shard to a new leader comes once its owner has missed the former one.
-	chk.True(over < silentBeats*beatInterval+cfg.Doubt)
+	chk.True(over < silentBeats*beatInterval+cfg.OrphanExpiry)
 }
 
 func TestShardGoesToAFreshInstanceWhoseListIsShort(t *testing.T) {
--- a/internal/process/succession/explore_carry_test.go
+++ b/internal/process/succession/explore_carry_test.go
@@ -24,7 +24,7 @@
 		return
 	}
 	nod.noteOrder(ord.Owner)
-	nod.shardDo(tgt.Shard, ldr.Place(now, ord))
+	nod.shardDo(tgt.Shard, ldr.HandleOrder(now, ord))
 }
 
 func (nod *node) noteOrder(id shard.InstanceID) {
@@ -56,7 +56,7 @@
 		switch act := act.(type) {
 		case submission.Place:
 			nod.ply.note("%s orders %s at %s %d followed %t at %q recall %t", nod.id, act.Order.Task, act.Target.Leader, act.Target.Token,
-				act.Order.Followed, act.Order.At, act.Order.Recall)
+				act.Order.Reassigned, act.Order.LastServer, act.Order.Recall)
 			if act.Target.Leader != nod.id {
 				nod.noteOrder(act.Target.Leader)
 				nod.send(act.Target.Leader, orderMessage{act.Target.Shard, act.Target.Token, act.Order})
@@ -84,29 +84,29 @@
 }
 
 func (nod *node) shardDo(name shard.Name, acts []shard.Action) {
-	patience := nod.upl.Patience()
+	patience := nod.upl.AnswerTimeout()
 	for _, act := range acts {
 		switch act := act.(type) {
-		case shard.Tell:
+		case shard.SendReport:
 			nod.local = append(nod.local, func() { nod.tell(act.Owner, act.Report) })
 		case shard.StartRun:
 			nod.startRun(name, act, patience)
 		case shard.StopRun:
 			nod.ply.note("%s stops %s %d at %s", nod.id, act.Run.Task, act.Run.Number, act.Server.ID)
-			nod.call(act.Server.ID, patience, func(srv *fakeServer, reply func(shard.Look, shard.Verdict)) {
-				reply(shard.Look{}, srv.stop(act))
-			}, func(_ shard.Look, vdt shard.Verdict) {
+			nod.call(act.Server.ID, patience, func(srv *fakeServer, reply func(shard.RenewResult, shard.CallResult)) {
+				reply(shard.RenewResult{}, srv.stop(act))
+			}, func(_ shard.RenewResult, vdt shard.CallResult) {
 				nod.run(func(now time.Time) {
 					if ldr := nod.leader(name, act.Token); ldr != nil {
-						nod.shardDo(name, ldr.Stopped(now, act.Server.ID, act.Run, vdt))
+						nod.shardDo(name, ldr.HandleStopResult(now, act.Server.ID, act.Run, vdt))
 					}
 				})
 			})
-		case shard.Hold:
-			nod.ply.after(act.Pause, func() { nod.deliver(fmt.Sprint("pause ", nod.ply.count), func() { nod.hold(name, act, patience) }) })
+		case shard.Renew:
+			nod.ply.after(act.Delay, func() { nod.deliver(fmt.Sprint("pause ", nod.ply.count), func() { nod.hold(name, act, patience) }) })
 		}
 	}
-	if ldr := nod.ldrs[name]; ldr != nil && ldr.Lost() > 0 {
+	if ldr := nod.ldrs[name]; ldr != nil && ldr.LostServers() > 0 {
 		nod.abandon(name, true)
 	}
 }
@@ -114,40 +114,40 @@
 func (nod *node) startRun(name shard.Name, act shard.StartRun, patience time.Duration) {
 	nod.ply.note("%s starts %s %d at %s with %d", nod.id, act.Run.Task, act.Run.Number, act.Server.ID, act.Token)
 	sent := nod.ply.now
-	nod.call(act.Server.ID, patience, func(srv *fakeServer, reply func(shard.Look, shard.Verdict)) {
+	nod.call(act.Server.ID, patience, func(srv *fakeServer, reply func(shard.RenewResult, shard.CallResult)) {
 		vdt := srv.start(act, nod.ply.takes(act.Run.Task))
-		reply(shard.Look{Clock: srv.clock()}, vdt)
-	}, func(lok shard.Look, vdt shard.Verdict) {
+		reply(shard.RenewResult{Clock: srv.clock()}, vdt)
+	}, func(lok shard.RenewResult, vdt shard.CallResult) {
 		nod.run(func(now time.Time) {
-			nod.upl.Answered(act.Payload, now.Sub(sent), vdt)
+			nod.upl.HandleStartResult(act.Payload, now.Sub(sent), vdt)
 			if ldr := nod.leader(name, act.Token); ldr != nil {
-				nod.shardDo(name, ldr.Started(now, act.Server.ID, act.Run, vdt, lok.Clock))
+				nod.shardDo(name, ldr.HandleStartResult(now, act.Server.ID, act.Run, vdt, lok.Clock))
 			}
 		})
 	})
 }
 
-func (nod *node) hold(name shard.Name, act shard.Hold, patience time.Duration) {
+func (nod *node) hold(name shard.Name, act shard.Renew, patience time.Duration) {
 	sent := nod.ply.now
-	nod.call(act.Server.ID, act.Wait+patience, func(srv *fakeServer, reply func(shard.Look, shard.Verdict)) { srv.hold(act, reply) },
-		func(lok shard.Look, vdt shard.Verdict) {
+	nod.call(act.Server.ID, act.WaitForEnd+patience, func(srv *fakeServer, reply func(shard.RenewResult, shard.CallResult)) { srv.hold(act, reply) },
+		func(lok shard.RenewResult, vdt shard.CallResult) {
 			nod.run(func(now time.Time) {
 				if ldr := nod.leader(name, act.Token); ldr != nil {
-					nod.shardDo(name, ldr.Looked(now, sent, act, lok, vdt))
+					nod.shardDo(name, ldr.HandleRenewResult(now, sent, act, lok, vdt))
 				}
 			})
 		})
 }
 
 // call makes a call of a server: it may be lost on the way there or back, or be carried out late and without an answer.
-func (nod *node) call(to shard.ServerID, patience time.Duration, carryOut func(srv *fakeServer, reply func(shard.Look, shard.Verdict)),
-	answered func(lok shard.Look, vdt shard.Verdict),
+func (nod *node) call(to shard.ServerID, patience time.Duration, carryOut func(srv *fakeServer, reply func(shard.RenewResult, shard.CallResult)),
+	answered func(lok shard.RenewResult, vdt shard.CallResult),
 ) {
 	ply := nod.ply
 	ply.calls++
 	src := fmt.Sprint("call ", ply.calls)
 	done := false
-	finish := func(lok shard.Look, vdt shard.Verdict) {
+	finish := func(lok shard.RenewResult, vdt shard.CallResult) {
 		nod.deliver(src, func() {
 			if !done {
 				done = true
@@ -155,18 +155,18 @@
 			}
 		})
 	}
-	ply.after(patience, func() { finish(shard.Look{}, shard.Unknown) })
+	ply.after(patience, func() { finish(shard.RenewResult{}, shard.Unknown) })
 	srv := ply.server(to)
 	if !ply.open(nod.name, string(to)) {
 		return
 	}
 	if srv.lose > 0 {
 		srv.lose--
-		ply.after(ply.within(3*time.Second), func() { carryOut(srv, func(shard.Look, shard.Verdict) {}) })
+		ply.after(ply.within(3*time.Second), func() { carryOut(srv, func(shard.RenewResult, shard.CallResult) {}) })
 		return
 	}
 	ply.after(ply.delay(), func() {
-		carryOut(srv, func(lok shard.Look, vdt shard.Verdict) {
+		carryOut(srv, func(lok shard.RenewResult, vdt shard.CallResult) {
 			if ply.open(string(to), nod.name) {
 				ply.after(ply.delay(), func() { finish(lok, vdt) })
 			}
--- a/internal/process/succession/explore_mesh_test.go
+++ b/internal/process/succession/explore_mesh_test.go
@@ -70,7 +70,7 @@
 		return
 	}
 	ses.outbox = append(ses.outbox, msg)
-	if rep, ok := msg.(reportMessage); !ok || rep.rep.Outcome != shard.Begun {
+	if rep, ok := msg.(reportMessage); !ok || rep.rep.Outcome != shard.Started {
 		ses.signal() // That a task has begun may wait for the next batch.
 	}
 }
--- a/internal/process/succession/explore_node_test.go
+++ b/internal/process/succession/explore_node_test.go
@@ -136,7 +136,7 @@
 func (nod *node) heard(from shard.InstanceID, at time.Time, bet fakeBeat, msgs []any) {
 	nod.run(func(now time.Time) {
 		for _, name := range sortedKeys(nod.ldrs) {
-			nod.ldrs[name].OwnerHeard(from, at)
+			nod.ldrs[name].HandleOwnerHeard(from, at)
 		}
 		nod.round = max(nod.round, bet.round)
 		nod.census.Told(now, bet.listedTo)
@@ -175,7 +175,7 @@
 	nod.run(func(now time.Time) {
 		nod.cnc.Lost(now, id, silent)
 		for _, name := range sortedKeys(nod.ldrs) {
-			nod.shardDo(name, nod.ldrs[name].OwnerLost(now, id))
+			nod.shardDo(name, nod.ldrs[name].HandleOwnerLost(now, id))
 		}
 		nod.deskDo(nod.dsk.InstanceLost(now, id))
 		nod.updateLeaders()
@@ -259,7 +259,7 @@
 	}
 	nod.leaveWeaker()
 	for _, shd := range Sorted(nod.shards()) {
-		if ldr := nod.ldrs[shd.Name]; ldr != nil && shd.Domain != nod.domain && ldr.Disobeyed(now) {
+		if ldr := nod.ldrs[shd.Name]; ldr != nil && shd.Domain != nod.domain && ldr.Unconfirmed(now) {
 			nod.abandon(shd.Name, false)
 		}
 	}
@@ -277,7 +277,7 @@
 		nod.openAt = now
 		clear(nod.openWith)
 		for _, name := range sortedKeys(nod.ldrs) {
-			nod.ldrs[name].Owners(nod.openWith)
+			nod.ldrs[name].AddOwners(nod.openWith)
 		}
 		nod.dsk.Leaders(nod.openWith)
 		nod.updatePaces()
@@ -305,9 +305,9 @@
 		return false
 	}
 	ent := ents[nod.ply.rnd.IntN(len(ents))]
-	act := shard.Hold{Server: ent, Token: 1}
-	nod.call(ent.ID, ReachTimeout, func(srv *fakeServer, reply func(shard.Look, shard.Verdict)) { srv.hold(act, reply) },
-		func(_ shard.Look, vdt shard.Verdict) {
+	act := shard.Renew{Server: ent, Token: 1}
+	nod.call(ent.ID, ReachTimeout, func(srv *fakeServer, reply func(shard.RenewResult, shard.CallResult)) { srv.hold(act, reply) },
+		func(_ shard.RenewResult, vdt shard.CallResult) {
 			nod.run(func(at time.Time) {
 				if vdt == shard.Unknown {
 					rch.Unanswered(at)
--- a/internal/process/succession/explore_process_test.go
+++ b/internal/process/succession/explore_process_test.go
@@ -63,7 +63,7 @@
 	now := nod.ply.now
 	if !nod.tickedAt.IsZero() && now.Sub(nod.tickedAt) > starvedFor {
 		for _, name := range sortedKeys(nod.ldrs) {
-			nod.ldrs[name].HeldUp(now.Add(50 * time.Millisecond))
+			nod.ldrs[name].HandlePause(now.Add(50 * time.Millisecond))
 		}
 	}
 	act(now)
--- a/internal/process/succession/explore_server_test.go
+++ b/internal/process/succession/explore_server_test.go
@@ -51,11 +51,11 @@
 }
 
 // start carries a StartRun out.
-func (srv *fakeServer) start(act shard.StartRun, takes time.Duration) shard.Verdict {
+func (srv *fakeServer) start(act shard.StartRun, takes time.Duration) shard.CallResult {
 	switch {
 	case act.Token < srv.token:
 		return shard.Fenced
-	case act.Run.Number < srv.highest[act.Run.Task], act.Until <= srv.clock():
+	case act.Run.Number < srv.highest[act.Run.Task], act.LeaseUntil <= srv.clock():
 		return shard.Refused
 	case act.Run.Number == srv.highest[act.Run.Task]:
 		if rn := srv.running[act.Run.Task]; rn != nil && rn.id == act.Run && !rn.stopping {
@@ -64,7 +64,7 @@
 		return shard.Refused
 	}
 	srv.token = act.Token
-	srv.renew(act.Until)
+	srv.renew(act.LeaseUntil)
 	srv.highest[act.Run.Task] = act.Run.Number
 	srv.ply.checkStart(srv, act.Run)
 	rn := &fakeRun{id: act.Run, began: srv.ply.now, takes: takes}
@@ -80,7 +80,7 @@
 	return shard.Accepted
 }
 
-func (srv *fakeServer) stop(act shard.StopRun) shard.Verdict {
+func (srv *fakeServer) stop(act shard.StopRun) shard.CallResult {
 	if act.Token < srv.token {
 		return shard.Fenced
 	}
@@ -94,17 +94,17 @@
 }
 
 // hold carries a Hold out and calls back with what the server lists, once something has ended or the wait is over.
-func (srv *fakeServer) hold(act shard.Hold, reply func(shard.Look, shard.Verdict)) {
+func (srv *fakeServer) hold(act shard.Renew, reply func(shard.RenewResult, shard.CallResult)) {
 	if act.Token < srv.token {
-		reply(shard.Look{}, shard.Fenced)
+		reply(shard.RenewResult{}, shard.Fenced)
 		return
 	}
 	srv.token = act.Token
-	if act.Until > 0 {
-		srv.renew(act.Until)
+	if act.LeaseUntil > 0 {
+		srv.renew(act.LeaseUntil)
 	}
-	srv.ended = slices.DeleteFunc(srv.ended, func(end shard.End) bool { return end.Seq <= act.Seen })
-	if act.Wait == 0 || len(srv.ended) > 0 {
+	srv.ended = slices.DeleteFunc(srv.ended, func(end shard.End) bool { return end.Seq <= act.AckedSeq })
+	if act.WaitForEnd == 0 || len(srv.ended) > 0 {
 		reply(srv.look(), shard.Accepted)
 		return
 	}
@@ -116,11 +116,11 @@
 		}
 	}
 	srv.waiting = append(srv.waiting, answer)
-	srv.ply.after(act.Wait, answer)
+	srv.ply.after(act.WaitForEnd, answer)
 }
 
-func (srv *fakeServer) look() shard.Look {
-	lok := shard.Look{Clock: srv.clock(), Ended: slices.Clone(srv.ended)}
+func (srv *fakeServer) look() shard.RenewResult {
+	lok := shard.RenewResult{Clock: srv.clock(), Ended: slices.Clone(srv.ended)}
 	for _, task := range sortedKeys(srv.running) {
 		rn := srv.running[task]
 		pct := int(min(99, srv.ply.now.Sub(rn.began)*100/max(rn.takes, 1)))
@@ -152,13 +152,13 @@
 	})
 }
 
-func (srv *fakeServer) end(rn *fakeRun, how shard.HowEnded) {
+func (srv *fakeServer) end(rn *fakeRun, how shard.EndKind) {
 	if srv.running[rn.id.Task] != rn {
 		return
 	}
 	delete(srv.running, rn.id.Task)
 	srv.count++
-	srv.ended = append(srv.ended, shard.End{Seq: srv.count, Run: rn.id, How: how})
+	srv.ended = append(srv.ended, shard.End{Seq: srv.count, Run: rn.id, Kind: how})
 	srv.ply.note("%s ended %s %d how %d", srv.id, rn.id.Task, rn.id.Number, how)
 	wts := srv.waiting
 	srv.waiting = nil
--- a/internal/request/shard/action.go
+++ b/internal/request/shard/action.go
@@ -14,8 +14,8 @@
 	Run     RunID
 	Payload string
 	Token   int64
-	// Until is the end of the lease on the server's clock.
-	Until time.Duration
+	// LeaseUntil is the end of the lease on the server's clock.
+	LeaseUntil time.Duration
 }
 
 // StopRun orders the end of a run; its verdict goes to Stopped.
@@ -25,63 +25,63 @@
 	Token  int64
 }
 
-// Hold looks at a server and, with a positive Until, renews its lease; what comes of it goes to Looked.
-type Hold struct {
+// Renew looks at a server and, with a positive Until, renews its lease; what comes of it goes to Looked.
+type Renew struct {
 	Server ServerEntry
 	Token  int64
-	Seen   int64
-	Until  time.Duration
-	Wait   time.Duration
+	AckedSeq   int64
+	LeaseUntil  time.Duration
+	WaitForEnd   time.Duration
 	// Number names the look; it goes back with its answer.
 	Number int64
-	// Pause is how long to wait before the order is sent.
-	Pause time.Duration
+	// Delay is how long to wait before the order is sent.
+	Delay time.Duration
 }
 
-// Tell passes a report to the owner of an order.
-type Tell struct {
+// SendReport passes a report to the owner of an order.
+type SendReport struct {
 	Owner  InstanceID
 	Report Report
 }
 
-// PauseServer tells that a server gets nothing for a while, as it is slow or fails what it runs.
-type PauseServer struct {
+// QuarantineServer tells that a server gets nothing for a while, as it is slow or fails what it runs.
+type QuarantineServer struct {
 	Server ServerID
 	Reason string
 	// Measure is what decided: how many times as long as elsewhere runs take, or how many submissions failed in a row.
 	Measure float64
-	Pause   time.Duration
+	Duration   time.Duration
 }
 
-func (PauseServer) action() {}
+func (QuarantineServer) action() {}
 func (StartRun) action()    {}
 func (StopRun) action()     {}
-func (Hold) action()        {}
-func (Tell) action()        {}
+func (Renew) action()        {}
+func (SendReport) action()        {}
 
 // Config has the times that a Leader works with.
 type Config struct {
 	// Lease is what a renewal grants: what runs at a backend server whose leader is gone ends that much later.
 	Lease time.Duration
-	// Wait is how long a look waits for an end; leases are renewed that often.
-	Wait time.Duration
-	// Settle bounds how long a new leader waits for the owners of what it finds running.
-	Settle time.Duration
-	// StopRetry is the pause before a stop without an answer is repeated.
-	StopRetry time.Duration
-	// StopPatience is how long a stop may stay without an answer before its server's lease is left to lapse.
-	StopPatience time.Duration
-	// Doubt is the least time for which a task of a former leader may still run that was not found; its owner may know of more.
-	Doubt time.Duration
-	// ObeyPatience is for how long no server may show that it obeys the leader; an idle one is looked at once a second.
-	ObeyPatience time.Duration
-	// OwnerSilence is how long after its owner was last heard an order may start: no longer than until the owner is missed, as
+	// RenewWait is how long a look waits for an end; leases are renewed that often.
+	RenewWait time.Duration
+	// TakeoverWait bounds how long a new leader waits for the owners of what it finds running.
+	TakeoverWait time.Duration
+	// StopRetryDelay is the pause before a stop without an answer is repeated.
+	StopRetryDelay time.Duration
+	// StopTimeout is how long a stop may stay without an answer before its server's lease is left to lapse.
+	StopTimeout time.Duration
+	// OrphanExpiry is the least time for which a task of a former leader may still run that was not found; its owner may know of more.
+	OrphanExpiry time.Duration
+	// ConfirmTimeout is for how long no server may show that it obeys the leader; an idle one is looked at once a second.
+	ConfirmTimeout time.Duration
+	// OwnerTimeout is how long after its owner was last heard an order may start: no longer than until the owner is missed, as
 	// it starts the task elsewhere some time after that.
-	OwnerSilence time.Duration
-	// Stall is how long the progress of a run may stand still.
-	Stall time.Duration
-	// Quarantine is the first pause of a server that fails what it runs; it doubles up to MaxQuarantine.
-	Quarantine, MaxQuarantine time.Duration
+	OwnerTimeout time.Duration
+	// StallTimeout is how long the progress of a run may stand still.
+	StallTimeout time.Duration
+	// InitialQuarantine is the first pause of a server that fails what it runs; it doubles up to MaxQuarantine.
+	InitialQuarantine, MaxQuarantine time.Duration
 }
 
 // clockSkew is how much slower than true a backend server's clock may run (2%, the platform's pages).
@@ -92,21 +92,21 @@
 func DefaultConfig() Config {
 	return Config{
 		Lease:         600 * time.Millisecond,
-		Wait:          200 * time.Millisecond,
-		Settle:        120 * time.Millisecond,
-		StopRetry:     20 * time.Millisecond,
-		StopPatience:  100 * time.Millisecond,
-		Doubt:         850 * time.Millisecond,
-		ObeyPatience:  2 * time.Second,
-		OwnerSilence:  450 * time.Millisecond,
-		Stall:         350 * time.Millisecond,
-		Quarantine:    time.Second,
+		RenewWait:          200 * time.Millisecond,
+		TakeoverWait:        120 * time.Millisecond,
+		StopRetryDelay:     20 * time.Millisecond,
+		StopTimeout:  100 * time.Millisecond,
+		OrphanExpiry:         850 * time.Millisecond,
+		ConfirmTimeout:  2 * time.Second,
+		OwnerTimeout:  450 * time.Millisecond,
+		StallTimeout:         350 * time.Millisecond,
+		InitialQuarantine:    time.Second,
 		MaxQuarantine: 8 * time.Second,
 	}
 }
 
-// Lapse is how long after its last renewal was sent a lease has ended by any clock.
-func (cfg Config) Lapse() time.Duration {
+// Expiry is how long after its last renewal was sent a lease has ended by any clock.
+func (cfg Config) Expiry() time.Duration {
 	return time.Duration(float64(cfg.Lease)*clockSkew) + lapseMargin
 }
 
--- a/internal/request/shard/closed.go
+++ b/internal/request/shard/closed.go
@@ -27,7 +27,7 @@
 // turnAway gives back all waiting orders but those that may still run here.
 func (ldr *Leader) turnAway(now time.Time) {
 	for _, ord := range ldr.que.orders {
-		if !ord.Followed || !now.Before(ord.notBefore) {
+		if !ord.Reassigned || !now.Before(ord.notBefore) {
 			ldr.bounce(ord)
 		}
 	}
--- a/internal/request/shard/desk_test.go
+++ b/internal/request/shard/desk_test.go
@@ -30,9 +30,9 @@
 	dsk.ldr = NewLeader(DefaultConfig(), NewUplink(0), "a.0", 9, dsk.now)
 	dsk.did(dsk.ldr.SetServers(dsk.now, Listing{Listed: ents}))
 	for _, ent := range ents {
-		dsk.look(ent.ID, Look{Clock: time.Minute})
+		dsk.look(ent.ID, RenewResult{Clock: time.Minute})
 	}
-	dsk.pass(DefaultConfig().Settle)
+	dsk.pass(DefaultConfig().TakeoverWait)
 	dsk.acts = nil
 	return dsk
 }
@@ -47,22 +47,22 @@
 	}
 }
 
-func (dsk *desk) look(id ServerID, look Look) { dsk.lookFrom(id, dsk.now, look, Accepted) }
+func (dsk *desk) look(id ServerID, look RenewResult) { dsk.lookFrom(id, dsk.now, look, Accepted) }
 
 // lookFrom answers the newest look at a server, which was sent at a time.
-func (dsk *desk) lookFrom(id ServerID, sent time.Time, look Look, vdt Verdict) {
-	dsk.did(dsk.ldr.Looked(dsk.now, sent, dsk.newest(id), look, vdt))
+func (dsk *desk) lookFrom(id ServerID, sent time.Time, look RenewResult, vdt CallResult) {
+	dsk.did(dsk.ldr.HandleRenewResult(dsk.now, sent, dsk.newest(id), look, vdt))
 }
 
-func (dsk *desk) newest(id ServerID) Hold {
+func (dsk *desk) newest(id ServerID) Renew {
 	srv := dsk.ldr.servers[id]
-	return Hold{Server: srv.ent, Number: srv.looks}
+	return Renew{Server: srv.ent, Number: srv.looks}
 }
 
 // place orders tasks that need the same and returns where each was started, "" for those that wait.
 func (dsk *desk) place(priority int, tasks ...string) map[string]ServerID {
 	for _, tsk := range tasks {
-		dsk.did(dsk.ldr.Place(dsk.now, dsk.order(priority, tsk)))
+		dsk.did(dsk.ldr.HandleOrder(dsk.now, dsk.order(priority, tsk)))
 	}
 	return dsk.starts()
 }
@@ -70,8 +70,8 @@
 func (dsk *desk) order(priority int, task string) Order {
 	return Order{
 		Task: task, Owner: owner, Service: "render", Processor: size, Memory: 10, Priority: priority,
-		Arrived: dsk.now, Aim: dsk.now.Add(time.Second), Useful: dsk.now.Add(3 * time.Second),
-		Expected: 100 * time.Millisecond, Step: strings.Split(task, ".")[0],
+		Arrived: dsk.now, Due: dsk.now.Add(time.Second), UsefulUntil: dsk.now.Add(3 * time.Second),
+		ExpectedRunTime: 100 * time.Millisecond, Step: strings.Split(task, ".")[0],
 	}
 }
 
@@ -85,11 +85,11 @@
 	return got
 }
 
-func (dsk *desk) started(task string, vdt Verdict) RunID {
+func (dsk *desk) started(task string, vdt CallResult) RunID {
 	for _, act := range slices.Backward(dsk.acts) {
 		if str, ok := act.(StartRun); ok && str.Run.Task == task {
-			dsk.ldr.link.Answered(str.Payload, time.Millisecond, vdt)
-			dsk.did(dsk.ldr.Started(dsk.now, str.Server.ID, str.Run, vdt, time.Minute))
+			dsk.ldr.link.HandleStartResult(str.Payload, time.Millisecond, vdt)
+			dsk.did(dsk.ldr.HandleStartResult(dsk.now, str.Server.ID, str.Run, vdt, time.Minute))
 			return str.Run
 		}
 	}
@@ -120,7 +120,7 @@
 
 func (dsk *desk) reports(out Outcome) int {
 	return dsk.count(func(act Action) bool {
-		tel, ok := act.(Tell)
+		tel, ok := act.(SendReport)
 		return ok && tel.Report.Outcome == out
 	})
 }
@@ -134,7 +134,7 @@
 
 func (dsk *desk) looks() int {
 	return dsk.count(func(act Action) bool {
-		_, ok := act.(Hold)
+		_, ok := act.(Renew)
 		return ok
 	})
 }
--- a/internal/request/shard/events.go
+++ b/internal/request/shard/events.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Started tells what came of a StartRun; clock is the server's, if it answered.
-func (ldr *Leader) Started(now time.Time, id ServerID, rid RunID, vdt Verdict, clock time.Duration) []Action {
+// HandleStartResult tells what came of a StartRun; clock is the server's, if it answered.
+func (ldr *Leader) HandleStartResult(now time.Time, id ServerID, rid RunID, vdt CallResult, clock time.Duration) []Action {
 	srv, rn := ldr.find(id, rid)
 	if srv != nil {
 		if clock > 0 { // Else there was no answer.
@@ -24,7 +24,7 @@
 		ldr.fenced(srv)
 	case Replaced:
 		ldr.replaced(now, srv)
-	case Refused, Overfull:
+	case Refused, OverCapacity:
 		if rn.repeats > 0 {
 			// An earlier try may have run, and may have ended meanwhile or be on its way to: the next look tells.
 			ldr.accepted(now, srv, rn)
@@ -81,11 +81,11 @@
 	}
 	rn.state = running
 	rn.ord.srv = srv
-	ldr.report(rn.ord, Begun, 0)
+	ldr.report(rn.ord, Started, 0)
 }
 
-// Stopped tells what came of a StopRun.
-func (ldr *Leader) Stopped(now time.Time, id ServerID, rid RunID, vdt Verdict) []Action {
+// HandleStopResult tells what came of a StopRun.
+func (ldr *Leader) HandleStopResult(now time.Time, id ServerID, rid RunID, vdt CallResult) []Action {
 	srv, rn := ldr.find(id, rid)
 	if rn == nil {
 		return ldr.take()
@@ -101,14 +101,14 @@
 	case Replaced:
 		ldr.replaced(now, srv)
 	default:
-		rn.stopDue = now.Add(ldr.cfg.StopRetry)
+		rn.stopDue = now.Add(ldr.cfg.StopRetryDelay)
 	}
 	ldr.advance(now, srv)
 	return ldr.take()
 }
 
-// Looked tells what came of a Hold that was sent at a time.
-func (ldr *Leader) Looked(now, sent time.Time, act Hold, look Look, vdt Verdict) []Action {
+// HandleRenewResult tells what came of a Hold that was sent at a time.
+func (ldr *Leader) HandleRenewResult(now, sent time.Time, act Renew, look RenewResult, vdt CallResult) []Action {
 	srv := ldr.servers[act.Server.ID]
 	if srv == nil {
 		return ldr.take()
@@ -178,7 +178,7 @@
 }
 
 // seen takes in what a server lists.
-func (ldr *Leader) seen(now time.Time, srv *server, sent time.Time, look Look) {
+func (ldr *Leader) seen(now time.Time, srv *server, sent time.Time, look RenewResult) {
 	first := srv.state == claiming
 	srv.state = held
 	srv.doubts = 0
@@ -252,10 +252,10 @@
 	if srv.failing < failuresToPause {
 		return
 	}
-	pause := min(ldr.cfg.Quarantine<<min(srv.failing-failuresToPause, maxDoublings), ldr.cfg.MaxQuarantine)
+	pause := min(ldr.cfg.InitialQuarantine<<min(srv.failing-failuresToPause, maxDoublings), ldr.cfg.MaxQuarantine)
 	srv.pausedUntil = now.Add(pause)
-	ldr.do(PauseServer{
-		Server: srv.ent.ID, Reason: "server fails what it runs", Measure: float64(srv.failing), Pause: pause,
+	ldr.do(QuarantineServer{
+		Server: srv.ent.ID, Reason: "server fails what it runs", Measure: float64(srv.failing), Duration: pause,
 	})
 }
 
@@ -264,12 +264,12 @@
 func (ldr *Leader) claimWaiting(now time.Time) {
 	kept := make([]*order, 0, len(ldr.que.orders))
 	for _, ord := range ldr.que.orders {
-		if ord.Followed && ldr.adopt(now, ord) {
+		if ord.Reassigned && ldr.adopt(now, ord) {
 			continue
 		}
-		if ord.Followed && ldr.runsNowhere(ord) {
+		if ord.Reassigned && ldr.runsNowhere(ord) {
 			ord.notBefore = time.Time{}
-		} else if ord.Followed {
+		} else if ord.Reassigned {
 			ldr.hurryProof(now, ord)
 		}
 		kept = append(kept, ord)
@@ -285,14 +285,14 @@
 	}
 	if rn == nil || rn.ord == nil {
 		if ldr.listens(now) {
-			ldr.ends[end.Run.Task] = foundEnd{how: end.How, server: srv.ent.ID}
+			ldr.ends[end.Run.Task] = foundEnd{how: end.Kind, server: srv.ent.ID}
 		}
 		return
 	}
 	ord := rn.ord
 	stopped := rn.state == ending
 	ord.run, ord.srv = nil, srv
-	switch end.How {
+	switch end.Kind {
 	case EndedDone:
 		srv.succeeded()
 		if !rn.blurred {
@@ -307,9 +307,9 @@
 	switch {
 	case ord.cancelled:
 		delete(ldr.orders, ord.Task)
-	case end.How == EndedDone:
+	case end.Kind == EndedDone:
 		ldr.finish(ord, Done, now.Sub(rn.sentAt))
-	case end.How == EndedFailed && !stopped:
+	case end.Kind == EndedFailed && !stopped:
 		ldr.finish(ord, Failed, now.Sub(rn.sentAt))
 	default:
 		ldr.que.push(ord)
--- a/internal/request/shard/hopeless.go
+++ b/internal/request/shard/hopeless.go
@@ -36,15 +36,15 @@
 // hopeless reports whether an order that would start at a time is of no use any more. What was of none when it came, as its caller had
 // sent it before or its route says no objective, was admitted for a lull and waits for one.
 func (ord *order) hopeless(start time.Time) bool {
-	if ord.Followed || ord.jobBegun() || !ord.Useful.After(ord.Arrived) {
+	if ord.Reassigned || ord.jobBegun() || !ord.UsefulUntil.After(ord.Arrived) {
 		return false
 	}
-	return start.Add(ord.Expected).After(ord.Useful)
+	return start.Add(ord.ExpectedRunTime).After(ord.UsefulUntil)
 }
 
 func (ldr *Leader) giveBack(ord *order) {
 	delete(ldr.orders, ord.Task)
-	ldr.do(Tell{Owner: ord.Owner, Report: Report{
-		Task: ord.Task, Token: ldr.token, Outcome: NotRun, MayHaveRun: ord.mayHaveRun, Hopeless: true,
+	ldr.do(SendReport{Owner: ord.Owner, Report: Report{
+		Task: ord.Task, Token: ldr.token, Outcome: NotRun, MayHaveRun: ord.mayHaveRun, TooLate: true,
 	}})
 }
--- a/internal/request/shard/leader.go
+++ b/internal/request/shard/leader.go
@@ -50,7 +50,7 @@
 }
 
 type foundEnd struct {
-	how    HowEnded
+	how    EndKind
 	server ServerID
 }
 
@@ -70,21 +70,21 @@
 // Token returns the fencing token that the leader took the shard over with.
 func (ldr *Leader) Token() int64 { return ldr.token }
 
-// Settled reports whether the take-over is complete, so that tasks start.
-func (ldr *Leader) Settled() bool { return ldr.settled }
+// TakeoverComplete reports whether the take-over is complete, so that tasks start.
+func (ldr *Leader) TakeoverComplete() bool { return ldr.settled }
 
-// Owners adds the owners of the orders that lie here to a set.
-func (ldr *Leader) Owners(set map[InstanceID]bool) {
+// AddOwners adds the owners of the orders that lie here to a set.
+func (ldr *Leader) AddOwners(set map[InstanceID]bool) {
 	for _, ord := range ldr.orders {
 		set[ord.Owner] = true
 	}
 }
 
-// Lost returns how many servers the leader has lost to another one.
-func (ldr *Leader) Lost() int { return ldr.lost }
+// LostServers returns how many servers the leader has lost to another one.
+func (ldr *Leader) LostServers() int { return ldr.lost }
 
-// Disobeyed reports whether no server has obeyed the leader for a while.
-func (ldr *Leader) Disobeyed(now time.Time) bool { return now.Sub(ldr.obeyedAt) > ldr.cfg.ObeyPatience }
+// Unconfirmed reports whether no server has obeyed the leader for a while.
+func (ldr *Leader) Unconfirmed(now time.Time) bool { return now.Sub(ldr.obeyedAt) > ldr.cfg.ConfirmTimeout }
 
 // take returns the actions that have gathered.
 func (ldr *Leader) take() []Action {
@@ -130,16 +130,16 @@
 	return ldr.take()
 }
 
-// Whole reports whether the leader knows of every server that a former leader may hold.
-func (ldr *Leader) Whole() bool { return ldr.whole }
+// ListingComplete reports whether the leader knows of every server that a former leader may hold.
+func (ldr *Leader) ListingComplete() bool { return ldr.whole }
 
 // forget drops a server that has no entry and does not answer; what ran there goes back to the queue once its lease has
 // surely lapsed. The list forgets servers that live while the store is away, so one that answers its leader stays.
 func (ldr *Leader) forget(now time.Time, srv *server) {
-	if !srv.unlisted || srv.state == held || srv.state == claiming && now.Sub(ldr.since) < ldr.cfg.Doubt {
+	if !srv.unlisted || srv.state == held || srv.state == claiming && now.Sub(ldr.since) < ldr.cfg.OrphanExpiry {
 		return
 	}
-	if len(srv.runs) > 0 && now.Before(srv.renewedAt.Add(ldr.cfg.Lapse())) {
+	if len(srv.runs) > 0 && now.Before(srv.renewedAt.Add(ldr.cfg.Expiry())) {
 		return
 	}
 	ldr.lapsed(now, srv)
@@ -147,8 +147,8 @@
 	ldr.dropped = true
 }
 
-// Place takes an order. A task that the leader has already is left alone.
-func (ldr *Leader) Place(now time.Time, req Order) []Action {
+// HandleOrder takes an order. A task that the leader has already is left alone.
+func (ldr *Leader) HandleOrder(now time.Time, req Order) []Action {
 	if old := ldr.orders[req.Task]; old != nil {
 		ldr.placeAgain(now, old, req)
 		ldr.advance(now, nil)
@@ -160,8 +160,8 @@
 	ord := &order{Order: req, cameAt: now, sib: ldr.siblings(now, req.Step)}
 	ldr.orders[req.Task] = ord
 	if !ldr.adopt(now, ord) {
-		if req.Followed && !ldr.runsNowhere(ord) {
-			ord.notBefore = now.Add(max(ldr.cfg.Doubt, req.RunsFor))
+		if req.Reassigned && !ldr.runsNowhere(ord) {
+			ord.notBefore = now.Add(max(ldr.cfg.OrphanExpiry, req.MayRunFor))
 			ldr.hurryProof(now, ord)
 		}
 		ldr.que.push(ord)
@@ -178,9 +178,9 @@
 		return // Another owner has the task now; a call-back has nothing of what an order says.
 	}
 	if old.Owner == req.Owner && !old.cancelled {
-		old.Bounce = req.Bounce || req.Recall
+		old.ReturnIfBusy = req.ReturnIfBusy || req.Recall
 		if old.run != nil && old.run.state == running {
-			ldr.report(old, Begun, 0)
+			ldr.report(old, Started, 0)
 		}
 		return
 	}
@@ -206,9 +206,9 @@
 	return ldr.take()
 }
 
-// OwnerLost ends all orders of an instance that is not heard any more: its callers are sending their
+// HandleOwnerLost ends all orders of an instance that is not heard any more: its callers are sending their
 // jobs to other instances.
-func (ldr *Leader) OwnerLost(now time.Time, owner InstanceID) []Action {
+func (ldr *Leader) HandleOwnerLost(now time.Time, owner InstanceID) []Action {
 	for _, ord := range ldr.orders {
 		if ord.Owner == owner {
 			ldr.cancel(now, ord)
@@ -249,7 +249,7 @@
 	if ord.srv != nil {
 		rep.Server = ord.srv.ent.ID
 	}
-	ldr.do(Tell{Owner: ord.Owner, Report: rep})
+	ldr.do(SendReport{Owner: ord.Owner, Report: rep})
 }
 
 // Resign gives the shard up: owners learn that waiting orders have not run and that the rest is in the hands of the next
@@ -258,7 +258,7 @@
 	for _, ord := range ldr.orders {
 		switch {
 		case ord.cancelled:
-		case ord.run == nil && !ord.Followed:
+		case ord.run == nil && !ord.Reassigned:
 			ldr.report(ord, NotRun, 0)
 		default:
 			ldr.report(ord, Lost, 0)
@@ -308,7 +308,7 @@
 			ldr.giveUp(now, srv, rn)
 		}
 	}
-	if srv.state != held && len(srv.runs) > 0 && !now.Before(srv.renewedAt.Add(ldr.cfg.Lapse())) {
+	if srv.state != held && len(srv.runs) > 0 && !now.Before(srv.renewedAt.Add(ldr.cfg.Expiry())) {
 		ldr.lapsed(now, srv)
 	}
 	// A server that has listed what runs there is not looked at again before the take-over is complete: a look
@@ -322,14 +322,14 @@
 // stalled reports whether the progress of a run stands still. The server has to have said so since: a leader that got no processor, or no
 // answer, for a while has seen no progress either.
 func (ldr *Leader) stalled(now time.Time, srv *server, rn *run) bool {
-	if rn.state != running || rn.ord == nil || rn.percent >= percents || now.Sub(rn.progressAt) <= ldr.cfg.Stall {
+	if rn.state != running || rn.ord == nil || rn.percent >= percents || now.Sub(rn.progressAt) <= ldr.cfg.StallTimeout {
 		return false
 	}
-	return srv.obeyedAt.Sub(rn.progressAt) > ldr.cfg.Stall-ldr.cfg.Wait
+	return srv.obeyedAt.Sub(rn.progressAt) > ldr.cfg.StallTimeout-ldr.cfg.RenewWait
 }
 
 func (ldr *Leader) look(now time.Time, srv *server) {
-	act := Hold{Server: srv.ent, Token: ldr.token, Seen: srv.seen}
+	act := Renew{Server: srv.ent, Token: ldr.token, AckedSeq: srv.seen}
 	if srv.state == held && ldr.settled {
 		switch {
 		case srv.quick:
@@ -339,15 +339,15 @@
 		case srv.awaitsProof():
 			srv.pause = true // A stop takes its time.
 		case srv.doubts == 0:
-			act.Wait = ldr.lookWait(now, srv)
+			act.WaitForEnd = ldr.lookWait(now, srv)
 		}
-		if !srv.unanswered(now, ldr.cfg.StopPatience) {
-			act.Until = srv.until(now, ldr.cfg.Lease)
+		if !srv.unanswered(now, ldr.cfg.StopTimeout) {
+			act.LeaseUntil = srv.until(now, ldr.cfg.Lease)
 			srv.renewedAt = now
 		}
 	}
 	if srv.pause && !srv.quick {
-		act.Pause, srv.pause = lookPause, false
+		act.Delay, srv.pause = lookPause, false
 	}
 	srv.looks++
 	act.Number = srv.looks
@@ -358,7 +358,7 @@
 // lookWait returns how long a look waits for an end. That it was lost shows only after that, and what ended meanwhile waits for
 // the next one; so looks wait for less where many are lost, and end when a run becomes suspicious.
 func (ldr *Leader) lookWait(now time.Time, srv *server) time.Duration {
-	wait := ldr.cfg.Wait
+	wait := ldr.cfg.RenewWait
 	if ldr.lossy() {
 		wait = min(wait, lossyWait)
 	}
--- a/internal/request/shard/leader_test.go
+++ b/internal/request/shard/leader_test.go
@@ -15,11 +15,11 @@
 		"running": func(*desk, RunID) {},
 		"being stopped": func(dsk *desk, run RunID) {
 			dsk.did(dsk.ldr.Cancel(dsk.now, owner, run.Task))
-			dsk.did(dsk.ldr.Stopped(dsk.now, "s", run, Accepted))
+			dsk.did(dsk.ldr.HandleStopResult(dsk.now, "s", run, Accepted))
 		},
 		"stop unanswered": func(dsk *desk, run RunID) {
 			dsk.did(dsk.ldr.Cancel(dsk.now, owner, run.Task))
-			dsk.did(dsk.ldr.Stopped(dsk.now, "s", run, Unknown))
+			dsk.did(dsk.ldr.HandleStopResult(dsk.now, "s", run, Unknown))
 		},
 	}
 	for name, story := range cases {
@@ -47,18 +47,18 @@
 		chk.Equal(dsk.started("j.0", Unknown), run) // The same run, at the same server.
 	}
 	chk.Equal(dsk.stops(), 1)
-	dsk.did(dsk.ldr.Stopped(dsk.now, first, run, Unknown))
+	dsk.did(dsk.ldr.HandleStopResult(dsk.now, first, run, Unknown))
 	dsk.acts = nil
 	dsk.pass(100 * time.Millisecond)
 	chk.Equal(dsk.stops(), 1) // The stop is repeated.
 	chk.Equal(len(dsk.starts()), 0)
 	before := dsk.now
 	dsk.pass(10 * time.Millisecond)
-	dsk.did(dsk.ldr.Stopped(dsk.now, first, run, Accepted))
-	dsk.lookFrom(first, before, Look{}, Accepted) // A look from before proves nothing.
+	dsk.did(dsk.ldr.HandleStopResult(dsk.now, first, run, Accepted))
+	dsk.lookFrom(first, before, RenewResult{}, Accepted) // A look from before proves nothing.
 	chk.Equal(len(dsk.starts()), 0)
 	dsk.pass(10 * time.Millisecond)
-	dsk.look(first, Look{})
+	dsk.look(first, RenewResult{})
 	chk.Equal(len(dsk.starts()), 1)
 }
 
@@ -66,18 +66,18 @@
 	// The first start got no answer and was carried out. The server accepts the second one, as the run is there; or it refuses
 	// it, as the run has ended there already. Taken for a refusal, that would start the task a second time.
 	cases := map[string]struct {
-		answer    Verdict
-		look      func(run RunID) Look
+		answer    CallResult
+		look      func(run RunID) RenewResult
 		done, new int
 	}{
 		"runs there": {
-			answer: Accepted, look: func(run RunID) Look { return Look{Running: []Progress{{Run: run}}} },
+			answer: Accepted, look: func(run RunID) RenewResult { return RenewResult{Running: []Progress{{Run: run}}} },
 		},
 		"has ended there": {
-			answer: Refused, look: func(run RunID) Look { return Look{Ended: []End{{Seq: 1, Run: run, How: EndedDone}}} }, done: 1,
+			answer: Refused, look: func(run RunID) RenewResult { return RenewResult{Ended: []End{{Seq: 1, Run: run, Kind: EndedDone}}} }, done: 1,
 		},
 		"never came there": {
-			answer: Refused, look: func(RunID) Look { return Look{} }, new: 1,
+			answer: Refused, look: func(RunID) RenewResult { return RenewResult{} }, new: 1,
 		},
 	}
 	for name, cse := range cases {
@@ -106,10 +106,10 @@
 		if lossy {
 			dsk.ldr.loss = 0.3
 		}
-		dsk.lookFrom("s", dsk.now, Look{}, Unknown)
+		dsk.lookFrom("s", dsk.now, RenewResult{}, Unknown)
 		chk.Equal(len(dsk.place(0, "j.0")), want)
 		for range 2 {
-			dsk.lookFrom("s", dsk.now, Look{}, Unknown)
+			dsk.lookFrom("s", dsk.now, RenewResult{}, Unknown)
 		}
 		chk.Equal(dsk.ldr.servers["s"].state == held, lossy)
 	}
@@ -122,17 +122,17 @@
 	dsk := newDesk(t, listed("s", 32000))
 	dsk.place(0, "j.0")
 	run := dsk.started("j.0", Accepted)
-	dsk.did(dsk.ldr.OwnerLost(dsk.now, owner))
-	dsk.did(dsk.ldr.Stopped(dsk.now, "s", run, Unknown))
-	dsk.pass(DefaultConfig().StopPatience + 20*time.Millisecond)
+	dsk.did(dsk.ldr.HandleOwnerLost(dsk.now, owner))
+	dsk.did(dsk.ldr.HandleStopResult(dsk.now, "s", run, Unknown))
+	dsk.pass(DefaultConfig().StopTimeout + 20*time.Millisecond)
 	dsk.acts = nil
-	dsk.look("s", Look{Running: []Progress{{Run: run}}})
+	dsk.look("s", RenewResult{Running: []Progress{{Run: run}}})
 	renewals := dsk.count(func(act Action) bool {
-		hld, ok := act.(Hold)
-		return ok && hld.Until > 0
+		hld, ok := act.(Renew)
+		return ok && hld.LeaseUntil > 0
 	})
 	chk.Equal(renewals, 0)
-	chk.Equal(dsk.count(func(act Action) bool { _, ok := act.(Hold); return ok }), 1)
+	chk.Equal(dsk.count(func(act Action) bool { _, ok := act.(Renew); return ok }), 1)
 }
 
 func TestCallBackPlacesNothing(t *testing.T) {
@@ -142,10 +142,10 @@
 	dsk := newDesk(t, listed("s", 32000))
 	ord := dsk.order(0, "j.0")
 	ord.Recall = true
-	dsk.did(dsk.ldr.Place(dsk.now, ord))
+	dsk.did(dsk.ldr.HandleOrder(dsk.now, ord))
 	chk.Equal(len(dsk.acts), 0)
 	dsk.place(0, "k.0", "k.1", "j.0")
-	dsk.did(dsk.ldr.Place(dsk.now, ord))
+	dsk.did(dsk.ldr.HandleOrder(dsk.now, ord))
 	chk.Equal(dsk.reports(NotRun), 1)
 	chk.Equal(len(dsk.starts()), 2)
 }
@@ -157,7 +157,7 @@
 		for num, tsk := range tasks {
 			dsk.place(0, tsk)
 			run := dsk.started(tsk, Accepted)
-			dsk.look("s", Look{Ended: []End{{Seq: int64(num + 1), Run: run, How: EndedFailed}}})
+			dsk.look("s", RenewResult{Ended: []End{{Seq: int64(num + 1), Run: run, Kind: EndedFailed}}})
 		}
 	}
 	cases := map[string]struct {
@@ -174,7 +174,7 @@
 			fail(dsk, cse.failed...)
 			dsk.acts = nil
 			chk.Equal(len(dsk.place(0, "k.0", "k.1")), cse.starts)
-			dsk.pass(DefaultConfig().Quarantine + 10*time.Millisecond)
+			dsk.pass(DefaultConfig().InitialQuarantine + 10*time.Millisecond)
 			chk.Equal(len(dsk.starts()), max(cse.starts, 1))
 		})
 	}
@@ -201,8 +201,8 @@
 			tsk := fmt.Sprintf("j%03d.0", step)
 			arrived[tsk] = dsk.now
 			ord := dsk.order(0, tsk)
-			ord.Aim, ord.Expected = dsk.now.Add(aim), takes
-			dsk.did(dsk.ldr.Place(dsk.now, ord))
+			ord.Due, ord.ExpectedRunTime = dsk.now.Add(aim), takes
+			dsk.did(dsk.ldr.HandleOrder(dsk.now, ord))
 		}
 		dsk.pass(every)
 		for tsk, end := range ends {
@@ -215,7 +215,7 @@
 				inTime++
 			}
 			delete(ends, tsk)
-			dsk.look(ord.srv.ent.ID, Look{
+			dsk.look(ord.srv.ent.ID, RenewResult{
 				Ended: []End{{Seq: seqs[ord.srv.ent.ID], Run: ord.run.id}}, Running: dsk.others(ord.srv, ord.run.id),
 			})
 		}
@@ -237,7 +237,7 @@
 	dsk.place(1, "j2.0")
 	dsk.place(0, "j3.0")
 	dsk.acts = nil
-	dsk.look("s", Look{Ended: []End{{Seq: 1, Run: run}}})
+	dsk.look("s", RenewResult{Ended: []End{{Seq: 1, Run: run}}})
 	chk.Equal(dsk.starts(), map[string]ServerID{"j3.0": "s"})
 }
 
@@ -262,7 +262,7 @@
 			}
 			ldr.SetServers(now, Listing{Listed: ents})
 			for _, ent := range ents {
-				ldr.Looked(now, now, Hold{Server: ent, Number: 1}, Look{}, Accepted)
+				ldr.HandleRenewResult(now, now, Renew{Server: ent, Number: 1}, RenewResult{}, Accepted)
 			}
 			now = now.Add(time.Second)
 			ldr.Tick(now)
@@ -270,14 +270,14 @@
 			b.ReportAllocs()
 			for step := 0; b.Loop(); step++ {
 				tsk := fmt.Sprintf("j%d.0", step)
-				ldr.Place(now, Order{Task: tsk, Owner: owner, Service: "render", Processor: size, Memory: 10})
+				ldr.HandleOrder(now, Order{Task: tsk, Owner: owner, Service: "render", Processor: size, Memory: 10})
 				ord := ldr.orders[tsk]
 				srv := ord.srv.ent.ID
-				ldr.link.Answered(ord.Payload, time.Millisecond, Accepted)
-				ldr.Started(now, srv, ord.run.id, Accepted, 0)
+				ldr.link.HandleStartResult(ord.Payload, time.Millisecond, Accepted)
+				ldr.HandleStartResult(now, srv, ord.run.id, Accepted, 0)
 				seqs[srv]++
-				hld := Hold{Server: ord.srv.ent, Number: ord.srv.looks}
-				ldr.Looked(now, now, hld, Look{Ended: []End{{Seq: seqs[srv], Run: ord.run.id}}}, Accepted)
+				hld := Renew{Server: ord.srv.ent, Number: ord.srv.looks}
+				ldr.HandleRenewResult(now, now, hld, RenewResult{Ended: []End{{Seq: seqs[srv], Run: ord.run.id}}}, Accepted)
 			}
 		})
 	}
@@ -294,10 +294,10 @@
 			chk := is.New(t)
 			dsk := newDesk(t, listed("s", 32000))
 			for range cse.lost {
-				dsk.lookFrom("s", dsk.now, Look{}, Unknown)
+				dsk.lookFrom("s", dsk.now, RenewResult{}, Unknown)
 			}
 			if cse.starts > 0 {
-				dsk.look("s", Look{})
+				dsk.look("s", RenewResult{})
 			}
 			dsk.pass(10 * time.Millisecond)
 			chk.Equal(len(dsk.place(0, "j.0")), cse.starts)
@@ -317,7 +317,7 @@
 	}{
 		"heard just now":                       {owner: owner, heardAt: 2 * time.Second, starts: 1},
 		"heard before the hold-up":             {owner: owner},
-		"missed any moment":                    {owner: owner, heardAt: 2*time.Second - DefaultConfig().OwnerSilence - 1},
+		"missed any moment":                    {owner: owner, heardAt: 2*time.Second - DefaultConfig().OwnerTimeout - 1},
 		"the own instance":                     {owner: "self/1", starts: 1},
 		"the own instance, sockets to be read": {owner: "self/1", heldUp: true},
 	}
@@ -325,22 +325,22 @@
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
 			dsk := newDesk(t, listed("s1", 20000))
-			dsk.ldr.OwnerHeard(owner, dsk.now)
+			dsk.ldr.HandleOwnerHeard(owner, dsk.now)
 			dsk.place(0, "j1.0")
 			run := dsk.started("j1.0", Accepted)
 			ord := dsk.order(0, "j2.0")
 			ord.Owner = cse.owner
-			dsk.did(dsk.ldr.Place(dsk.now, ord)) // It waits for room.
+			dsk.did(dsk.ldr.HandleOrder(dsk.now, ord)) // It waits for room.
 			dsk.acts = nil
 			began := dsk.now
 			dsk.now = dsk.now.Add(2 * time.Second)
 			if cse.heardAt > 0 {
-				dsk.ldr.OwnerHeard(cse.owner, began.Add(cse.heardAt))
+				dsk.ldr.HandleOwnerHeard(cse.owner, began.Add(cse.heardAt))
 			}
 			if cse.heldUp {
-				dsk.ldr.HeldUp(dsk.now.Add(50 * time.Millisecond))
+				dsk.ldr.HandlePause(dsk.now.Add(50 * time.Millisecond))
 			}
-			dsk.look("s1", Look{Ended: []End{{Seq: 1, Run: run}}})
+			dsk.look("s1", RenewResult{Ended: []End{{Seq: 1, Run: run}}})
 			chk.Equal(len(dsk.starts()), cse.starts)
 			if cse.heldUp {
 				dsk.now = dsk.now.Add(50 * time.Millisecond)
@@ -360,14 +360,14 @@
 	dsk.place(0, "j1.0")
 	run := dsk.started("j1.0", Unknown)
 	dsk.did(dsk.ldr.Cancel(dsk.now, owner, "j1.0"))
-	dsk.did(dsk.ldr.Stopped(dsk.now, "s", run, Accepted))
-	dsk.did(dsk.ldr.Started(dsk.now, "s", run, Refused, time.Minute))
+	dsk.did(dsk.ldr.HandleStopResult(dsk.now, "s", run, Accepted))
+	dsk.did(dsk.ldr.HandleStartResult(dsk.now, "s", run, Refused, time.Minute))
 	dsk.acts = nil
 	chk.Equal(len(dsk.place(0, "j2.0")), 0)
 	dsk.now = dsk.now.Add(10 * time.Millisecond)
-	dsk.look("s", Look{Running: []Progress{{Run: run}}}) // It takes up to 50 ms.
+	dsk.look("s", RenewResult{Running: []Progress{{Run: run}}}) // It takes up to 50 ms.
 	chk.Equal(len(dsk.starts()), 0)
 	dsk.now = dsk.now.Add(40 * time.Millisecond)
-	dsk.look("s", Look{Ended: []End{{Seq: 1, Run: run, How: EndedStopped}}})
+	dsk.look("s", RenewResult{Ended: []End{{Seq: 1, Run: run, Kind: EndedStopped}}})
 	chk.Equal(len(dsk.starts()), 1)
 }
--- a/internal/request/shard/looks_test.go
+++ b/internal/request/shard/looks_test.go
@@ -14,16 +14,16 @@
 	chk := is.New(t)
 	dsk := newDesk(t, listed("s", 32000))
 	dsk.place(0, "kept.0")
-	kept := Look{Running: []Progress{{Run: dsk.started("kept.0", Accepted)}}}
+	kept := RenewResult{Running: []Progress{{Run: dsk.started("kept.0", Accepted)}}}
 	for num := range 5 {
 		tsk := fmt.Sprintf("j%d.0", num)
 		dsk.place(0, tsk)
 		run := dsk.started(tsk, Accepted)
 		was := dsk.newest("s")
 		dsk.did(dsk.ldr.Cancel(dsk.now, owner, tsk))
-		dsk.did(dsk.ldr.Stopped(dsk.now, "s", run, Accepted))
+		dsk.did(dsk.ldr.HandleStopResult(dsk.now, "s", run, Accepted))
 		dsk.acts = nil
-		dsk.did(dsk.ldr.Looked(dsk.now, dsk.now, was, kept, Accepted))
+		dsk.did(dsk.ldr.HandleRenewResult(dsk.now, dsk.now, was, kept, Accepted))
 		dsk.now = dsk.now.Add(time.Millisecond) // The next look is sent after the stop.
 		dsk.look("s", kept)
 		chk.Equal(dsk.looks(), 1)
@@ -34,12 +34,12 @@
 func TestIdleServerIsSeldomLookedAt(t *testing.T) {
 	chk := is.New(t)
 	dsk := newDesk(t, listed("s", 32000))
-	dsk.look("s", Look{Clock: time.Minute})
+	dsk.look("s", RenewResult{Clock: time.Minute})
 	dsk.acts = nil
 	for range 40 {
 		dsk.pass(50 * time.Millisecond)
 		if srv := dsk.ldr.servers["s"]; srv.looking {
-			dsk.look("s", Look{Clock: time.Minute})
+			dsk.look("s", RenewResult{Clock: time.Minute})
 		}
 	}
 	chk.True(dsk.looks() >= 1 && dsk.looks() <= 2)
@@ -48,8 +48,8 @@
 	dsk.place(0, "j1.0")
 	dsk.started("j1.0", Accepted)
 	chk.Equal(dsk.looks(), 1)
-	last, _ := dsk.acts[len(dsk.acts)-1].(Hold)
-	chk.True(last.Wait > 0 && last.Until > 0)
+	last, _ := dsk.acts[len(dsk.acts)-1].(Renew)
+	chk.True(last.WaitForEnd > 0 && last.LeaseUntil > 0)
 }
 
 // A server that is listed in its first millisecond tells a clock of zero, which was taken for none: it got a lease without an end, and
@@ -59,13 +59,13 @@
 	dsk := newDesk(t)
 	dsk.did(dsk.ldr.SetServers(dsk.now, Listing{Listed: []ServerEntry{listed("s", 32000)}}))
 	dsk.pass(10 * time.Millisecond)
-	dsk.look("s", Look{})
+	dsk.look("s", RenewResult{})
 	const later = 800 * time.Millisecond
 	dsk.pass(later)
 	dsk.acts = nil
 	dsk.place(0, "j1.0")
 	str, _ := dsk.acts[0].(StartRun)
-	chk.True(str.Until > later && str.Until <= later+DefaultConfig().Lease)
+	chk.True(str.LeaseUntil > later && str.LeaseUntil <= later+DefaultConfig().Lease)
 }
 
 // A server whose clock is slow keeps a lease for too long if its leader has not read the clock for a while.
--- a/internal/request/shard/loss.go
+++ b/internal/request/shard/loss.go
@@ -4,7 +4,7 @@
 
 // noteAnswer follows the share of answers that are lost on the way from servers that answered the last time: one that is gone
 // counts once.
-func (ldr *Leader) noteAnswer(srv *server, vdt Verdict) {
+func (ldr *Leader) noteAnswer(srv *server, vdt CallResult) {
 	if srv.doubts > 0 {
 		return
 	}
--- a/internal/request/shard/owner.go
+++ b/internal/request/shard/owner.go
@@ -6,16 +6,16 @@
 // it finds out that the owners have given it up, and have the tasks run elsewhere. So an order starts only while its owner
 // was heard a short while ago by the clock, whichever event comes first.
 
-// OwnerHeard tells the leader when another instance was last heard.
-func (ldr *Leader) OwnerHeard(owner InstanceID, at time.Time) {
+// HandleOwnerHeard tells the leader when another instance was last heard.
+func (ldr *Leader) HandleOwnerHeard(owner InstanceID, at time.Time) {
 	if at.After(ldr.heard[owner]) {
 		ldr.heard[owner] = at
 	}
 }
 
-// HeldUp tells the leader that its process came to nothing for a while. Nothing starts until a time, so that the sockets are read
+// HandlePause tells the leader that its process came to nothing for a while. Nothing starts until a time, so that the sockets are read
 // first: callers may have left, and owners may have said that they start tasks elsewhere.
-func (ldr *Leader) HeldUp(until time.Time) {
+func (ldr *Leader) HandlePause(until time.Time) {
 	ldr.quietUntil = until
 	for _, srv := range ldr.servers {
 		for _, rn := range srv.runs {
@@ -27,5 +27,5 @@
 // ownerThere reports whether an order's owner still waits for it, as far as can be known.
 func (ldr *Leader) ownerThere(now time.Time, ord *order) bool {
 	at, other := ldr.heard[ord.Owner]
-	return !other || now.Sub(at) <= ldr.cfg.OwnerSilence
+	return !other || now.Sub(at) <= ldr.cfg.OwnerTimeout
 }
--- a/internal/request/shard/place.go
+++ b/internal/request/shard/place.go
@@ -47,7 +47,7 @@
 func (ldr *Leader) anyToPlace(rms rooms) bool {
 	most := rms.most()
 	return slices.ContainsFunc(ldr.que.orders, func(ord *order) bool {
-		return ord.Bounce || ord.Followed || ord.Processor <= most
+		return ord.ReturnIfBusy || ord.Reassigned || ord.Processor <= most
 	})
 }
 
@@ -60,7 +60,7 @@
 
 // placeOne starts one task, leaves it in the queue or gives it back to its owner.
 func (ldr *Leader) placeOne(now time.Time, rnd *round, rnk Rank, ord *order) {
-	if ord.Followed {
+	if ord.Reassigned {
 		ldr.bounce(ord) // It runs nowhere, and has no payload here.
 		return
 	}
@@ -82,7 +82,7 @@
 		return
 	}
 	rnd.ahead += ord.Processor
-	if ord.Bounce && float64(rnd.ahead) > ldr.turnover()*millis(bounceWait+bounceTimes*ldr.link.largest) {
+	if ord.ReturnIfBusy && float64(rnd.ahead) > ldr.turnover()*millis(bounceWait+bounceTimes*ldr.link.largest) {
 		ldr.bounce(ord)
 	}
 }
@@ -128,8 +128,8 @@
 	ldr.report(ord, NotRun, 0)
 }
 
-// WaitingBytes is what the queue will put on the link.
-func (ldr *Leader) WaitingBytes() int64 {
+// QueuedBytes is what the queue will put on the link.
+func (ldr *Leader) QueuedBytes() int64 {
 	var num int64
 	for _, ord := range ldr.que.orders {
 		if ord.run == nil {
@@ -157,7 +157,7 @@
 	ldr.link.sent(rn.ord.Payload)
 	ldr.do(StartRun{
 		Server: srv.ent, Run: rn.id, Payload: rn.ord.Payload, Token: ldr.token,
-		Until: srv.until(now, ldr.cfg.Lease),
+		LeaseUntil: srv.until(now, ldr.cfg.Lease),
 	})
 }
 
@@ -238,19 +238,19 @@
 	Number int64
 	// Free has the free processor, in thousandths of a core, of each server with some.
 	Free []int64
-	// Turnover is how much processor comes free in a second while all servers are busy, in thousandths of a core; Waits is
+	// ServiceRate is how much processor comes free in a second while all servers are busy, in thousandths of a core; Waits is
 	// how long one more task of each rank waits for room.
-	Turnover int64
-	Waits    [Ranks]time.Duration
+	ServiceRate int64
+	RankWaits    [Ranks]time.Duration
 	// LinkWindow are the bytes of starts that the leader's link takes at once, LinkBusy those that are under way or wait.
 	LinkWindow, LinkBusy int64
 	// Closed shards take no new work; nothing is free there.
 	Closed bool
 }
 
-// RoomWait estimates how long a task of a rank waits for room, behind some more that need so many thousandths of a core.
-func (lod *Load) RoomWait(rnk Rank, behind int64) time.Duration {
-	return lod.Waits[rnk] + time.Duration(float64(behind)/float64(max(lod.Turnover, 1))*float64(time.Second))
+// CapacityWait estimates how long a task of a rank waits for room, behind some more that need so many thousandths of a core.
+func (lod *Load) CapacityWait(rnk Rank, behind int64) time.Duration {
+	return lod.RankWaits[rnk] + time.Duration(float64(behind)/float64(max(lod.ServiceRate, 1))*float64(time.Second))
 }
 
 // LinkWait estimates how long a start of so many bytes waits for the leader's link.
@@ -265,9 +265,9 @@
 func (ldr *Leader) Load(now time.Time) Load {
 	ldr.loads++
 	lod := Load{Number: ldr.loads, Closed: ldr.closed}
-	lod.LinkWindow, lod.LinkBusy = ldr.link.window, ldr.link.busy()+ldr.WaitingBytes()
+	lod.LinkWindow, lod.LinkBusy = ldr.link.window, ldr.link.busy()+ldr.QueuedBytes()
 	trn := ldr.turnover()
-	lod.Turnover = int64(trn * millis(time.Second))
+	lod.ServiceRate = int64(trn * millis(time.Second))
 	for _, srv := range ldr.servers {
 		if ldr.closed || !srv.open(now, ldr.tolerance()) {
 			continue
@@ -276,7 +276,7 @@
 			lod.Free = append(lod.Free, prc)
 		}
 	}
-	lod.Waits = ldr.drn.waits(trn, ldr.waiting(now))
+	lod.RankWaits = ldr.drn.waits(trn, ldr.waiting(now))
 	return lod
 }
 
--- a/internal/request/shard/queue.go
+++ b/internal/request/shard/queue.go
@@ -26,7 +26,7 @@
 }
 
 // jobBegun reports whether another task of the job may have begun, here or elsewhere.
-func (ord *order) jobBegun() bool { return ord.JobBegun || ord.sib != nil && ord.sib.begun }
+func (ord *order) jobBegun() bool { return ord.JobStarted || ord.sib != nil && ord.sib.begun }
 
 // submission returns the part of a task's name that names its submission.
 func (ord *order) submission() string {
@@ -61,7 +61,7 @@
 
 // anyFollowed reports whether an order waits that lay with an earlier leader.
 func (que *queue) anyFollowed() bool {
-	return slices.ContainsFunc(que.orders, func(ord *order) bool { return ord.Followed })
+	return slices.ContainsFunc(que.orders, func(ord *order) bool { return ord.Reassigned })
 }
 
 // dropIf removes the orders of which a condition holds.
--- a/internal/request/shard/rank.go
+++ b/internal/request/shard/rank.go
@@ -38,11 +38,11 @@
 // rank returns the turn of an order. A job that has begun is finished before others begin: left to its last task, all that
 // was done for it would be lost. So it is with one that has begun in another shard.
 func (ldr *Leader) rank(now time.Time, ord *order) Rank {
-	done := now.Add(ord.Expected)
-	if ord.jobBegun() && !done.After(ord.Useful) {
-		done = ord.Aim
+	done := now.Add(ord.ExpectedRunTime)
+	if ord.jobBegun() && !done.After(ord.UsefulUntil) {
+		done = ord.Due
 	}
-	return RankOf(ord.Priority, done, ord.Aim, ord.Useful)
+	return RankOf(ord.Priority, done, ord.Due, ord.UsefulUntil)
 }
 
 // drain follows how fast the tasks of each rank start while some wait, so that the wait of one more is known: of a rank that is
--- a/internal/request/shard/rank_test.go
+++ b/internal/request/shard/rank_test.go
@@ -38,14 +38,14 @@
 	dsk := newDesk(t, listed("s", 14000))
 	for _, tsk := range []string{"j.0", "j.1"} {
 		ord := dsk.order(0, tsk)
-		ord.Aim = dsk.now.Add(150 * time.Millisecond)
-		dsk.did(dsk.ldr.Place(dsk.now, ord))
+		ord.Due = dsk.now.Add(150 * time.Millisecond)
+		dsk.did(dsk.ldr.HandleOrder(dsk.now, ord))
 	}
 	run := dsk.started("j.0", Accepted)
 	dsk.pass(100 * time.Millisecond)
 	dsk.place(0, "k.0")
 	dsk.acts = nil
-	dsk.look("s", Look{Ended: []End{{Seq: 1, Run: run}}})
+	dsk.look("s", RenewResult{Ended: []End{{Seq: 1, Run: run}}})
 	chk.Equal(dsk.starts(), map[string]ServerID{"j.1": "s"})
 }
 
--- a/internal/request/shard/server.go
+++ b/internal/request/shard/server.go
@@ -162,7 +162,7 @@
 	if ord.Label != "" && !slices.Contains(srv.ent.Labels, ord.Label) {
 		return false
 	}
-	return ord.PerServer <= 0 || srv.countStep(ord.Step) < ord.PerServer
+	return ord.MaxPerServer <= 0 || srv.countStep(ord.Step) < ord.MaxPerServer
 }
 
 func (srv *server) countStep(step string) int {
--- a/internal/request/shard/speed.go
+++ b/internal/request/shard/speed.go
@@ -80,10 +80,10 @@
 	if sib := ldr.steps[ord.Step]; sib != nil && sib.count > 0 {
 		return sib.mean(), siblingSpread, true
 	}
-	if ord.Expected <= 0 {
+	if ord.ExpectedRunTime <= 0 {
 		return 0, 0, false
 	}
-	return math.Log(ord.Expected.Seconds()) + ldr.bias, estimateSpread, true
+	return math.Log(ord.ExpectedRunTime.Seconds()) + ldr.bias, estimateSpread, true
 }
 
 // observe takes in how long a run took, or will take as it seems, and judges its server.
@@ -108,8 +108,8 @@
 
 // noteSibling keeps the time of a run for the other tasks of its step, and for the bias of estimates.
 func (ldr *Leader) noteSibling(now time.Time, ord *order, took float64) {
-	if ord.Expected > 0 {
-		ldr.bias += biasWeight * (took - math.Log(ord.Expected.Seconds()) - ldr.bias)
+	if ord.ExpectedRunTime > 0 {
+		ldr.bias += biasWeight * (took - math.Log(ord.ExpectedRunTime.Seconds()) - ldr.bias)
 	}
 	sib := ldr.siblings(now, ord.Step)
 	sib.sum += took
@@ -136,7 +136,7 @@
 		return
 	}
 	pause := min(firstSlowPause<<min(spd.pauses, maxDoublings), longestSlowPause)
-	ldr.do(PauseServer{Server: srv.ent.ID, Reason: "server is slow", Measure: ratio, Pause: pause})
+	ldr.do(QuarantineServer{Server: srv.ent.ID, Reason: "server is slow", Measure: ratio, Duration: pause})
 	spd.until = now.Add(pause)
 	spd.pauses++
 	spd.evidence, spd.tried = 0, false
--- a/internal/request/shard/speed_test.go
+++ b/internal/request/shard/speed_test.go
@@ -14,7 +14,7 @@
 		task := job + "." + string(rune('0'+idx))
 		ord := dsk.order(0, task)
 		ord.Step, ord.Processor = job, 20000
-		dsk.did(dsk.ldr.Place(dsk.now, ord))
+		dsk.did(dsk.ldr.HandleOrder(dsk.now, ord))
 		dsk.started(task, Accepted)
 		at[task] = dsk.starts()[task]
 	}
@@ -25,7 +25,7 @@
 		srv := dsk.ldr.servers[at[task]]
 		for rid := range srv.runs {
 			if rid.Task == task {
-				dsk.look(at[task], Look{Ended: []End{{Seq: srv.seen + 1, Run: rid}}})
+				dsk.look(at[task], RenewResult{Ended: []End{{Seq: srv.seen + 1, Run: rid}}})
 			}
 		}
 	}
@@ -53,7 +53,7 @@
 	chk.True(!slow.open(dsk.now, 0)) // The second pause is longer.
 	dsk.now = dsk.now.Add(firstSlowPause)
 	chk.True(slow.open(dsk.now, 0))
-	dsk.ldr.observe(dsk.now, slow, &run{ord: &order{Order: Order{Step: "alone", Expected: time.Second}}}, time.Second)
+	dsk.ldr.observe(dsk.now, slow, &run{ord: &order{Order: Order{Step: "alone", ExpectedRunTime: time.Second}}}, time.Second)
 	chk.True(!slow.onTrial())
 }
 
--- a/internal/request/shard/stall_test.go
+++ b/internal/request/shard/stall_test.go
@@ -38,7 +38,7 @@
 			for _, percent := range cse.seen {
 				dsk.pass(step)
 				if percent >= 0 {
-					dsk.look("s", Look{Running: []Progress{{Run: run, Percent: percent}}})
+					dsk.look("s", RenewResult{Running: []Progress{{Run: run, Percent: percent}}})
 				}
 			}
 			dsk.now = dsk.now.Add(cse.pause)
@@ -57,13 +57,13 @@
 	dsk.place(0, "j1.0", "j2.0", "j3.0", "j4.0")
 	var ends []End
 	for idx, task := range []string{"j1.0", "j2.0", "j3.0", "j4.0"} {
-		ends = append(ends, End{Seq: int64(idx + 1), Run: dsk.started(task, Accepted), How: EndedDone})
+		ends = append(ends, End{Seq: int64(idx + 1), Run: dsk.started(task, Accepted), Kind: EndedDone})
 	}
 	dsk.acts = nil
 	dsk.now = dsk.now.Add(3 * time.Second)
-	dsk.ldr.HeldUp(dsk.now.Add(50 * time.Millisecond))
-	dsk.look("s", Look{Ended: ends})
+	dsk.ldr.HandlePause(dsk.now.Add(50 * time.Millisecond))
+	dsk.look("s", RenewResult{Ended: ends})
 	chk.Equal(dsk.reports(Done), len(ends))
 	chk.Equal(dsk.ldr.meanRun, before)
-	chk.Equal(dsk.count(func(act Action) bool { _, is := act.(PauseServer); return is }), 0)
+	chk.Equal(dsk.count(func(act Action) bool { _, is := act.(QuarantineServer); return is }), 0)
 }
--- a/internal/request/shard/takeover.go
+++ b/internal/request/shard/takeover.go
@@ -17,7 +17,7 @@
 	if end, ok := ldr.ends[ord.Task]; ok && end.how == EndedDone {
 		delete(ldr.ends, ord.Task)
 		delete(ldr.orders, ord.Task)
-		ldr.do(Tell{Owner: ord.Owner, Report: Report{
+		ldr.do(SendReport{Owner: ord.Owner, Report: Report{
 			Task: ord.Task, Token: ldr.token, Outcome: Done, Server: end.server,
 		}})
 		return true
@@ -32,7 +32,7 @@
 			rn.timed = true // Nobody here knows when it began.
 			if rn.state == running {
 				rn.sentAt, rn.progressAt = now, now
-				ldr.report(ord, Begun, 0)
+				ldr.report(ord, Started, 0)
 			}
 			return true
 		}
@@ -63,7 +63,7 @@
 	if !ldr.whole || ldr.dropped || len(ldr.servers) == 0 {
 		return false
 	}
-	return ord.At == "" || ldr.servers[ord.At] != nil
+	return ord.LastServer == "" || ldr.servers[ord.LastServer] != nil
 }
 
 // hurryProof has the servers looked at where a task may run for another leader. A look that waits for an end was sent before
@@ -104,7 +104,7 @@
 }
 
 // listens reports whether owners may still ask for what a former leader started.
-func (ldr *Leader) listens(now time.Time) bool { return now.Sub(ldr.since) < ldr.cfg.Settle }
+func (ldr *Leader) listens(now time.Time) bool { return now.Sub(ldr.since) < ldr.cfg.TakeoverWait }
 
 // nothingToAdopt reports whether every server has listed what runs there, and an owner has asked for all of it: nobody is
 // waited for then. After the loss of all instances nothing runs, and the first tasks start 0.1 s sooner; so they do
--- a/internal/request/shard/takeover_test.go
+++ b/internal/request/shard/takeover_test.go
@@ -21,11 +21,11 @@
 		dsk.did(dsk.ldr.SetServers(dsk.now, lst))
 		return dsk
 	}
-	running := Look{Running: []Progress{{Run: RunID{Task: "j.0", Number: 5}, Percent: 10}}}
+	running := RenewResult{Running: []Progress{{Run: RunID{Task: "j.0", Number: 5}, Percent: 10}}}
 	followedFrom := func(dsk *desk, at ServerID) {
 		ord := dsk.order(0, "j.0")
-		ord.Followed, ord.At = true, at
-		dsk.did(dsk.ldr.Place(dsk.now, ord))
+		ord.Reassigned, ord.LastServer = true, at
+		dsk.did(dsk.ldr.HandleOrder(dsk.now, ord))
 	}
 	followed := func(dsk *desk) { followedFrom(dsk, "") }
 	cases := map[string]struct {
@@ -37,49 +37,49 @@
 		returned int
 	}{
 		"listed, then asked for": {
-			story: func(dsk *desk) { dsk.look("s1", running); dsk.look("s2", Look{}); followed(dsk) },
+			story: func(dsk *desk) { dsk.look("s1", running); dsk.look("s2", RenewResult{}); followed(dsk) },
 			begun: 1,
 		},
 		"asked for, then listed": {
-			story: func(dsk *desk) { followed(dsk); dsk.look("s1", running); dsk.look("s2", Look{}) },
+			story: func(dsk *desk) { followed(dsk); dsk.look("s1", running); dsk.look("s2", RenewResult{}) },
 			begun: 1,
 		},
 		"never asked for": {
-			story: func(dsk *desk) { dsk.look("s1", running); dsk.look("s2", Look{}) },
+			story: func(dsk *desk) { dsk.look("s1", running); dsk.look("s2", RenewResult{}) },
 			stops: 1,
 		},
 		"nowhere": {
-			story:    func(dsk *desk) { followed(dsk); dsk.look("s1", Look{}); dsk.look("s2", Look{}) },
+			story:    func(dsk *desk) { followed(dsk); dsk.look("s1", RenewResult{}); dsk.look("s2", RenewResult{}) },
 			returned: 1,
 		},
 		"one server is silent, before the lease has passed": {
-			story: func(dsk *desk) { dsk.look("s1", Look{}); followed(dsk) },
+			story: func(dsk *desk) { dsk.look("s1", RenewResult{}); followed(dsk) },
 		},
 		"one server is silent, after it": {
-			story:    func(dsk *desk) { dsk.look("s1", Look{}); followed(dsk); dsk.pass(DefaultConfig().Doubt) },
+			story:    func(dsk *desk) { dsk.look("s1", RenewResult{}); followed(dsk); dsk.pass(DefaultConfig().OrphanExpiry) },
 			returned: 1,
 		},
 		"its last server is listed, another one silent": {
 			// A former leader that reaches the silent one may have started the task there since.
-			story: func(dsk *desk) { dsk.look("s1", Look{}); followedFrom(dsk, "s1") },
+			story: func(dsk *desk) { dsk.look("s1", RenewResult{}); followedFrom(dsk, "s1") },
 		},
 		"its last server is listed, another one silent, after the lease": {
-			story:    func(dsk *desk) { dsk.look("s1", Look{}); followedFrom(dsk, "s1"); dsk.pass(DefaultConfig().Doubt) },
+			story:    func(dsk *desk) { dsk.look("s1", RenewResult{}); followedFrom(dsk, "s1"); dsk.pass(DefaultConfig().OrphanExpiry) },
 			returned: 1,
 		},
 		"its last server is not known here": {
 			// The entry of that server has lapsed, and the instance has never seen it.
-			story: func(dsk *desk) { dsk.look("s1", Look{}); dsk.look("s2", Look{}); followedFrom(dsk, "s3") },
+			story: func(dsk *desk) { dsk.look("s1", RenewResult{}); dsk.look("s2", RenewResult{}); followedFrom(dsk, "s3") },
 		},
 		"the list was read before the take-over": {
 			// The former leader may have taken in a server that was added since, or whose entry is gone.
 			list:  Listing{Listed: []ServerEntry{listed("s1", 32000)}, ReadAt: time.Unix(1000, 0)},
-			story: func(dsk *desk) { dsk.look("s1", Look{}); followed(dsk) },
+			story: func(dsk *desk) { dsk.look("s1", RenewResult{}); followed(dsk) },
 		},
 		"the list was read again after it": {
 			list: Listing{Listed: []ServerEntry{listed("s1", 32000)}, ReadAt: time.Unix(1000, 0)},
 			story: func(dsk *desk) {
-				dsk.look("s1", Look{})
+				dsk.look("s1", RenewResult{})
 				followed(dsk)
 				dsk.did(dsk.ldr.SetServers(dsk.now, Listing{
 					Listed: []ServerEntry{listed("s1", 32000)}, ReadAt: dsk.now.Add(time.Millisecond),
@@ -92,7 +92,7 @@
 				dsk.did(dsk.ldr.SetServers(dsk.now, Listing{
 					Listed: []ServerEntry{listed("s1", 32000)}, Missing: []ServerEntry{listed("s3", 32000)},
 				}))
-				dsk.look("s1", Look{})
+				dsk.look("s1", RenewResult{})
 				followed(dsk)
 				dsk.look("s3", running)
 			},
@@ -100,8 +100,8 @@
 		},
 		"it ended meanwhile": {
 			story: func(dsk *desk) {
-				dsk.look("s1", Look{Ended: []End{{Seq: 3, Run: RunID{Task: "j.0", Number: 5}}}})
-				dsk.look("s2", Look{})
+				dsk.look("s1", RenewResult{Ended: []End{{Seq: 3, Run: RunID{Task: "j.0", Number: 5}}}})
+				dsk.look("s2", RenewResult{})
 				followed(dsk)
 			},
 		},
@@ -111,8 +111,8 @@
 			chk := is.New(t)
 			dsk := fresh(t, cse.list)
 			cse.story(dsk)
-			dsk.pass(DefaultConfig().Settle)
-			chk.Equal(dsk.reports(Begun), cse.begun)
+			dsk.pass(DefaultConfig().TakeoverWait)
+			chk.Equal(dsk.reports(Started), cse.begun)
 			chk.Equal(dsk.reports(NotRun), cse.returned)
 			chk.Equal(len(dsk.starts()), 0)
 			chk.Equal(dsk.stops(), cse.stops)
@@ -153,23 +153,23 @@
 			}
 			dsk.did(dsk.ldr.SetServers(dsk.now, listing(cse.list, cse.all)))
 			for _, id := range cse.answer {
-				dsk.look(id, Look{})
+				dsk.look(id, RenewResult{})
 			}
 			if slices.Contains(cse.answer, "s1") {
-				dsk.lookFrom("s1", dsk.now, Look{}, Unknown)
-				dsk.lookFrom("s1", dsk.now, Look{}, Unknown)
-				dsk.lookFrom("s1", dsk.now, Look{}, Unknown)
+				dsk.lookFrom("s1", dsk.now, RenewResult{}, Unknown)
+				dsk.lookFrom("s1", dsk.now, RenewResult{}, Unknown)
+				dsk.lookFrom("s1", dsk.now, RenewResult{}, Unknown)
 			}
 			dsk.did(dsk.ldr.SetServers(dsk.now, listing(cse.left, cse.all)))
 			dsk.pass(2 * time.Second)
 			ord := dsk.order(0, "j.0")
-			ord.Followed = true
-			dsk.did(dsk.ldr.Place(dsk.now, ord))
+			ord.Reassigned = true
+			dsk.did(dsk.ldr.HandleOrder(dsk.now, ord))
 			if slices.Contains(cse.answer, "s2") {
-				dsk.look("s2", Look{})
+				dsk.look("s2", RenewResult{})
 			}
 			chk.Equal(dsk.reports(NotRun), 0)
-			dsk.pass(DefaultConfig().Doubt)
+			dsk.pass(DefaultConfig().OrphanExpiry)
 			chk.Equal(dsk.reports(NotRun), 1) // The chain of leases has passed.
 		})
 	}
@@ -182,8 +182,8 @@
 	// twice until the next leader's stop, 3 ms later.
 	cases := map[string]struct {
 		at             ServerID
-		verdict        Verdict
-		look           Look
+		verdict        CallResult
+		look           RenewResult
 		returned, lost int
 	}{
 		"its servers obey another one":                 {verdict: Fenced, lost: 1},
@@ -191,7 +191,7 @@
 		"its servers obey it, the task runs nowhere":   {returned: 1},
 		"its server obeys it, the task runs nowhere":   {at: "s1", returned: 1},
 		"the task's server has not answered":           {at: "s1", verdict: Unknown},
-		"the task runs after all, for a former leader": {look: Look{Running: []Progress{{Run: RunID{Task: "j.0", Number: 5}}}}},
+		"the task runs after all, for a former leader": {look: RenewResult{Running: []Progress{{Run: RunID{Task: "j.0", Number: 5}}}}},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -202,11 +202,11 @@
 			}))
 			dsk.pass(100 * time.Millisecond)
 			ord := dsk.order(0, "j.0")
-			ord.Followed, ord.At = true, cse.at
-			dsk.did(dsk.ldr.Place(dsk.now, ord))
+			ord.Reassigned, ord.LastServer = true, cse.at
+			dsk.did(dsk.ldr.HandleOrder(dsk.now, ord))
 			chk.Equal(dsk.reports(NotRun), 0) // Nothing is known yet.
 			dsk.lookFrom("s1", dsk.now, cse.look, cse.verdict)
-			if dsk.ldr.Lost() > 0 {
+			if dsk.ldr.LostServers() > 0 {
 				dsk.did(dsk.ldr.Resign())
 			}
 			chk.Equal(dsk.reports(NotRun), cse.returned)
@@ -231,10 +231,10 @@
 				for range 1 + startRepeats {
 					run = dsk.started("j.0", Unknown)
 				}
-				dsk.did(dsk.ldr.Stopped(dsk.now, "s1", run, Accepted))
+				dsk.did(dsk.ldr.HandleStopResult(dsk.now, "s1", run, Accepted))
 				dsk.pass(10 * time.Millisecond)
-				dsk.ldr.HeldUp(dsk.now.Add(time.Second)) // It waits, and does not start again.
-				dsk.look("s1", Look{})
+				dsk.ldr.HandlePause(dsk.now.Add(time.Second)) // It waits, and does not start again.
+				dsk.look("s1", RenewResult{})
 			},
 			want: true,
 		},
@@ -247,13 +247,13 @@
 			if name == "never started" {
 				ord.Processor = 64000
 			}
-			dsk.did(dsk.ldr.Place(dsk.now, ord))
+			dsk.did(dsk.ldr.HandleOrder(dsk.now, ord))
 			cse.story(dsk)
 			dsk.acts = nil
 			dsk.did(dsk.ldr.Resign())
 			chk.Equal(dsk.reports(NotRun), 1)
 			said := dsk.count(func(act Action) bool {
-				tel, ok := act.(Tell)
+				tel, ok := act.(SendReport)
 				return ok && tel.Report.MayHaveRun
 			})
 			chk.Equal(said > 0, cse.want)
--- a/internal/request/shard/uplink.go
+++ b/internal/request/shard/uplink.go
@@ -53,14 +53,14 @@
 	}
 }
 
-// Patience is how long to wait for an answer to an order before it is taken for lost. On a narrow link an order waits behind two of
+// AnswerTimeout is how long to wait for an answer to an order before it is taken for lost. On a narrow link an order waits behind two of
 // the largest; sent again too early, it would only fill the link more.
-func (upl *Uplink) Patience() time.Duration {
+func (upl *Uplink) AnswerTimeout() time.Duration {
 	return upl.answers.Patience(leastPatience+orderTimes*upl.largest, mostPatience)
 }
 
-// SetPeers tells the bytes that are on their way to other instances.
-func (upl *Uplink) SetPeers(num int64) { upl.peers = num }
+// SetPeerBytes tells the bytes that are on their way to other instances.
+func (upl *Uplink) SetPeerBytes(num int64) { upl.peers = num }
 
 // Sends notes an order with a payload that is about to be sent to another instance; the next SetPeers counts it.
 func (upl *Uplink) Sends(payload string) { upl.peers += StartBytes(payload) }
@@ -73,8 +73,8 @@
 
 func (upl *Uplink) busy() int64 { return upl.inFlight + upl.peers }
 
-// SetQueued tells the bytes that wait here for the link.
-func (upl *Uplink) SetQueued(num int64) { upl.queued = num }
+// SetQueuedBytes tells the bytes that wait here for the link.
+func (upl *Uplink) SetQueuedBytes(num int64) { upl.queued = num }
 
 // Delay returns how long some bytes wait for the link, besides what is under way and what waits already.
 func (upl *Uplink) Delay(bytes int64) time.Duration {
@@ -91,9 +91,9 @@
 
 func (upl *Uplink) sent(payload string) { upl.inFlight += StartBytes(payload) }
 
-// Answered takes in the time of a start. One without an answer while the link was full most likely still waits there; while it
+// HandleStartResult takes in the time of a start. One without an answer while the link was full most likely still waits there; while it
 // was free, it tells nothing of the link, and must not make the next loss be noticed later.
-func (upl *Uplink) Answered(payload string, took time.Duration, vdt Verdict) {
+func (upl *Uplink) HandleStartResult(payload string, took time.Duration, vdt CallResult) {
 	full := upl.busy()+StartBytes(payload) > upl.window
 	upl.inFlight -= StartBytes(payload)
 	if vdt == Accepted || vdt == Unknown && full {
--- a/internal/request/shard/uplink_test.go
+++ b/internal/request/shard/uplink_test.go
@@ -17,14 +17,14 @@
 	big := strings.Repeat("x", 2400)
 	for _, tsk := range []string{"j.0", "j.1", "j.2"} {
 		ord := dsk.order(0, tsk)
-		ord.Payload, ord.Bounce = big, true
-		dsk.did(dsk.ldr.Place(dsk.now, ord))
+		ord.Payload, ord.ReturnIfBusy = big, true
+		dsk.did(dsk.ldr.HandleOrder(dsk.now, ord))
 	}
 	chk.Equal(len(dsk.starts()), 1)
 	chk.Equal(dsk.reports(NotRun), 0) // It waits some milliseconds; to bounce costs its payload once more.
 	small := dsk.order(0, "k.0")
 	small.Payload = "x"
-	dsk.did(dsk.ldr.Place(dsk.now, small))
+	dsk.did(dsk.ldr.HandleOrder(dsk.now, small))
 	chk.Equal(len(dsk.starts()), 2) // A small one still fits.
 	dsk.started("j.0", Accepted)
 	chk.Equal(len(dsk.starts()), 3)
@@ -50,9 +50,9 @@
 			}
 			for range 5 {
 				upl.sent(big)
-				upl.Answered(big, 180*time.Millisecond, Unknown)
+				upl.HandleStartResult(big, 180*time.Millisecond, Unknown)
 			}
-			chk.Equal(upl.Patience() > NewUplink(250_000).Patience(), cse.longer)
+			chk.Equal(upl.AnswerTimeout() > NewUplink(250_000).AnswerTimeout(), cse.longer)
 		})
 	}
 }
@@ -65,6 +65,6 @@
 	chk.True(NewUplink(0).Fits(strings.Repeat("x", 1<<20)))
 	full := NewUplink(1000)
 	chk.True(full.Fits(strings.Repeat("x", 4000))) // Nothing else is under way.
-	full.SetPeers(1)
+	full.SetPeerBytes(1)
 	chk.True(!full.Fits(strings.Repeat("x", 4000)))
 }
--- a/internal/request/shard/words.go
+++ b/internal/request/shard/words.go
@@ -14,13 +14,13 @@
 	Number int64
 }
 
-// HowEnded says how a run ended.
-type HowEnded int
+// EndKind says how a run ended.
+type EndKind int
 
 // The ways in which a run ends.
 const (
 	// EndedDone is a run whose work is complete.
-	EndedDone HowEnded = iota
+	EndedDone EndKind = iota
 	// EndedFailed is a run that failed by its own fault or the backend server's.
 	EndedFailed
 	// EndedStopped is a run that was stopped or whose lease lapsed; it counts as no attempt.
@@ -37,24 +37,24 @@
 type End struct {
 	Seq int64
 	Run RunID
-	How HowEnded
+	Kind EndKind
 }
 
-// Look is what a backend server says of itself.
-type Look struct {
+// RenewResult is what a backend server says of itself.
+type RenewResult struct {
 	// Clock is the server's own steady clock, on which leases count.
 	Clock   time.Duration
 	Running []Progress
 	Ended   []End
 }
 
-// Verdict is what came of a call to a backend server.
-type Verdict int
+// CallResult is what came of a call to a backend server.
+type CallResult int
 
 // The verdicts of a call.
 const (
 	// Accepted calls were carried out.
-	Accepted Verdict = iota
+	Accepted CallResult = iota
 	// Unknown calls got no answer; they may still be carried out, seconds later even.
 	Unknown
 	// Refused calls were not carried out and never will be.
@@ -63,12 +63,12 @@
 	Fenced
 	// Replaced calls met another life of the server: whatever ran in the life that was meant is over.
 	Replaced
-	// Overfull calls were refused for want of room.
-	Overfull
+	// OverCapacity calls were refused for want of room.
+	OverCapacity
 )
 
 // String returns the verdict's name in logs.
-func (vdt Verdict) String() string {
+func (vdt CallResult) String() string {
 	names := [...]string{"accepted", "unknown", "refused", "fenced", "replaced", "overfull"}
 	if vdt < 0 || int(vdt) >= len(names) {
 		return "invalid"
@@ -109,30 +109,30 @@
 	// Processor is in thousandths of a core, Memory in MB.
 	Processor, Memory int64
 	Priority          int
-	// Arrived is when the submission came in, Aim when its answer is due, Useful until when it is of use.
-	Arrived, Aim, Useful time.Time
-	// Expected is a rough guess of the run time.
-	Expected time.Duration
+	// Arrived is when the submission came in, Due when its answer is due, UsefulUntil until when it is of use.
+	Arrived, Due, UsefulUntil time.Time
+	// ExpectedRunTime is a rough guess of the run time.
+	ExpectedRunTime time.Duration
 	// Label, if set, is one that the server must have; Rack is the label of the rack that has its data.
 	Label, Rack string
-	// PerServer bounds the tasks of a step on one server, 0 for no bound; Step is what it counts.
-	PerServer int
+	// MaxPerServer bounds the tasks of a step on one server, 0 for no bound; Step is what it counts.
+	MaxPerServer int
 	Step      string
 	// Avoid has servers where the task failed before; they are used if no other has room.
 	Avoid []ServerID
-	// Followed says that the order lay with an earlier leader of the shard, which may have started it. It has no payload:
+	// Reassigned says that the order lay with an earlier leader of the shard, which may have started it. It has no payload:
 	// most such tasks run, and after the loss of a leader the payloads of all others would fill links for long enough
 	// that the next leader is missed. One that runs nowhere goes back to its owner, which orders it anew. At is the server
 	// where it last ran, if its owner has heard of that. RunsFor is for how long another leader may still run it, from when the
 	// order comes.
-	Followed bool
-	At       ServerID
-	RunsFor  time.Duration
-	// JobBegun orders are of a job of which another task may have begun: they are kept however long they wait, and go before
+	Reassigned bool
+	LastServer       ServerID
+	MayRunFor  time.Duration
+	// JobStarted orders are of a job of which another task may have begun: they are kept however long they wait, and go before
 	// others, as all that was done for the job would be lost.
-	JobBegun bool
-	// Bounce asks for the order back if it can't start at once.
-	Bounce bool
+	JobStarted bool
+	// ReturnIfBusy asks for the order back if it can't start at once.
+	ReturnIfBusy bool
 	// Recall asks for an order back that was placed before, if it still waits. It places nothing: the order
 	// may be on its way back already, and its owner then sends it elsewhere.
 	Recall bool
@@ -149,8 +149,8 @@
 	Failed
 	// NotRun orders are off the leader's hands and nothing of them runs; they may go elsewhere.
 	NotRun
-	// Begun orders have started; the end comes later.
-	Begun
+	// Started orders have started; the end comes later.
+	Started
 	// Lost orders are in the hands of another leader, which may let them run on.
 	Lost
 )
@@ -176,8 +176,8 @@
 	Server ServerID
 	// MayHaveRun says of an order that does not run that a server may have begun it: a start got no answer, and was stopped.
 	MayHaveRun bool
-	// Hopeless says of an order that does not run that it would not have started here while its answer is of use.
-	Hopeless bool
+	// TooLate says of an order that does not run that it would not have started here while its answer is of use.
+	TooLate bool
 }
 
 // Division is into how many shards the backend servers of a failure domain are cut. Instances that see it
--- a/internal/request/submission/admit.go
+++ b/internal/request/submission/admit.go
@@ -149,7 +149,7 @@
 		if !viw.serving() {
 			continue
 		}
-		wat := viw.load.RoomWait(rnk, viw.sent) + dsk.cost(viw, jb)
+		wat := viw.load.CapacityWait(rnk, viw.sent) + dsk.cost(viw, jb)
 		if !found || wat < least {
 			least, found = wat, true
 		}
@@ -162,14 +162,14 @@
 	var all shard.Load
 	for _, viw := range dsk.shards {
 		if viw.serving() {
-			all.Turnover += viw.load.Turnover
+			all.ServiceRate += viw.load.ServiceRate
 		}
 	}
-	if all.Turnover == 0 {
+	if all.ServiceRate == 0 {
 		return 0
 	}
 	stp := jb.sub.Steps[0]
-	return all.RoomWait(0, int64(stp.Count-1)*stp.Processor)
+	return all.CapacityWait(0, int64(stp.Count-1)*stp.Processor)
 }
 
 // comeBack returns when a refused caller finds the queue worked off, spread over as long again: all that were refused in a
--- a/internal/request/submission/admit_test.go
+++ b/internal/request/submission/admit_test.go
@@ -27,8 +27,8 @@
 
 // waits tells how long work waits in the one shard: what is in time, what is late, and what is of no use.
 func (bch *bench) waits(inTime, late, overdue time.Duration) {
-	lod := shard.Load{Number: 9, Turnover: 1_000_000, LinkWindow: 1 << 20}
-	lod.Waits[0], lod.Waits[1], lod.Waits[shard.Ranks-1] = inTime, late, overdue
+	lod := shard.Load{Number: 9, ServiceRate: 1_000_000, LinkWindow: 1 << 20}
+	lod.RankWaits[0], lod.RankWaits[1], lod.RankWaits[shard.Ranks-1] = inTime, late, overdue
 	bch.did(bch.dsk.SetLoad("a.0", lod))
 }
 
@@ -111,8 +111,8 @@
 			bch.call(1, "j", cse.patience)
 			plc, ok := bch.acts[len(bch.acts)-1].(Place)
 			chk.True(ok)
-			chk.Equal(plc.Order.Aim.Equal(bch.now), cse.late)
-			chk.Equal(plc.Order.Useful.Sub(bch.now), cse.useful)
+			chk.Equal(plc.Order.Due.Equal(bch.now), cse.late)
+			chk.Equal(plc.Order.UsefulUntil.Sub(bch.now), cse.useful)
 		})
 	}
 }
@@ -126,7 +126,7 @@
 		want    []string
 	}{
 		"it still waited": {outcome: shard.NotRun, want: []string{"place j.0.0.0 at self/1 recall", "reply 1 not-run"}},
-		"it has started":  {outcome: shard.Begun, want: []string{"place j.0.0.0 at self/1 recall"}},
+		"it has started":  {outcome: shard.Started, want: []string{"place j.0.0.0 at self/1 recall"}},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -143,7 +143,7 @@
 			bch.did(bch.dsk.Tick(bch.now))
 			bch.report(self, 1, task, cse.outcome)
 			chk.Equal(bch.take(), cse.want)
-			if cse.outcome == shard.Begun {
+			if cse.outcome == shard.Started {
 				bch.report(self, 1, task, shard.Done)
 				chk.Equal(bch.take(), []string{"reply 1 succeeded"})
 			}
@@ -155,8 +155,8 @@
 // how long their jobs would wait.
 func TestNoServerAnswers(t *testing.T) {
 	silent := shard.Load{Number: 9, LinkWindow: 1 << 20}
-	for rnk := range silent.Waits {
-		silent.Waits[rnk] = 2 * time.Hour // What its leader makes of a queue that does not go.
+	for rnk := range silent.RankWaits {
+		silent.RankWaits[rnk] = 2 * time.Hour // What its leader makes of a queue that does not go.
 	}
 	cases := map[string]struct {
 		// after is for how long it has been so.
--- a/internal/request/submission/choose.go
+++ b/internal/request/submission/choose.go
@@ -30,7 +30,7 @@
 func (viw *view) open() bool { return viw.leader != "" && !viw.shut() }
 
 // serving reports whether a shard takes new work and has a server that answers, as far as is known here.
-func (viw *view) serving() bool { return viw.open() && viw.load.Turnover > 0 }
+func (viw *view) serving() bool { return viw.open() && viw.load.ServiceRate > 0 }
 
 // shut reports whether a shard's failure domain is closed to new work.
 func (viw *view) shut() bool { return viw.closed || viw.load.Closed }
@@ -75,7 +75,7 @@
 		num := viw.fits(stp.Processor)
 		cst := dsk.cost(viw, tsk.job)
 		if num == 0 {
-			cst += noRoom + viw.load.RoomWait(dsk.rank(tsk.job), viw.sent)
+			cst += noRoom + viw.load.CapacityWait(dsk.rank(tsk.job), viw.sent)
 		}
 		if bst == nil || cst < least || cst == least && num > most {
 			bst, least, most = viw, cst, num
@@ -198,7 +198,7 @@
 	rns := dsk.runsFor(tsk)
 	tsk.leader, tsk.token, tsk.limbo, tsk.begun, tsk.queued = viw.leader, viw.token, time.Time{}, false, false
 	tsk.followed = true
-	dsk.send(tsk, shard.Order{Followed: true, At: tsk.server, RunsFor: rns})
+	dsk.send(tsk, shard.Order{Reassigned: true, LastServer: tsk.server, MayRunFor: rns})
 }
 
 // runsFor returns for how long the former leader may still run a task that is about to follow to the next one. A leader that is heard may
@@ -298,7 +298,7 @@
 // for its leader's link is not called back: its payload would take up its owner's link once more.
 func (dsk *Desk) waitsLong(tsk *task) bool {
 	viw := dsk.shards[tsk.shard]
-	return viw == nil || viw.load.LinkWait(0) == 0 && viw.load.RoomWait(dsk.rank(tsk.job), viw.sent) >= noRoom
+	return viw == nil || viw.load.LinkWait(0) == 0 && viw.load.CapacityWait(dsk.rank(tsk.job), viw.sent) >= noRoom
 }
 
 // Leads reports whether a target is the known leader of its shard.
--- a/internal/request/submission/closed_test.go
+++ b/internal/request/submission/closed_test.go
@@ -52,7 +52,7 @@
 			story: func(bch *bench) {
 				bch.lead("a.0", true, other, 1, 1)
 				bch.submit(1, "j", 1)
-				bch.report(other, 1, "j.0.0.0", shard.Begun)
+				bch.report(other, 1, "j.0.0.0", shard.Started)
 				bch.did(bch.dsk.SetClosed(bch.now, []string{own}))
 				bch.did(bch.dsk.Tick(bch.now))
 				bch.report(other, 1, "j.0.0.0", shard.Done)
@@ -63,7 +63,7 @@
 			story: func(bch *bench) {
 				bch.lead("a.0", true, other, 1, 1)
 				bch.submit(1, "j", 2)
-				bch.report(other, 1, "j.0.0.0", shard.Begun)
+				bch.report(other, 1, "j.0.0.0", shard.Started)
 				bch.did(bch.dsk.SetClosed(bch.now, []string{own}))
 				bch.report(other, 1, "j.0.0.1", shard.NotRun)
 				bch.did(bch.dsk.SetClosed(bch.now, nil))
--- a/internal/request/submission/desk.go
+++ b/internal/request/submission/desk.go
@@ -247,7 +247,7 @@
 	tsk.shard, tsk.leader, tsk.token = viw.name, viw.leader, viw.token
 	bounce := fits && tsk.bounces < maxBounces
 	tsk.begun, tsk.recalled, tsk.followed, tsk.queued, tsk.server = false, false, false, !bounce, ""
-	dsk.send(tsk, shard.Order{Bounce: bounce})
+	dsk.send(tsk, shard.Order{ReturnIfBusy: bounce})
 	if viw.leader != dsk.cfg.Self && viw.payload != tsk.job.sub.ID {
 		dsk.cfg.Link.Sends(tsk.job.sub.Payload)
 		viw.payload = tsk.job.sub.ID
@@ -273,16 +273,16 @@
 		return
 	}
 	payload := jb.sub.Payload
-	if how.Followed {
+	if how.Reassigned {
 		payload = ""
 	}
 	dsk.do(Place{Target: tsk.target(), Order: shard.Order{
 		Task: tsk.name, Owner: dsk.cfg.Self, Service: jb.sub.Service, Payload: payload,
 		Processor: stp.Processor, Memory: stp.Memory, Priority: jb.sub.Priority,
-		Arrived: jb.arrived, Aim: jb.aim, Useful: jb.useful,
-		Expected: stp.Expected, Label: stp.Label, Rack: stp.Rack,
-		PerServer: stp.PerServer, Step: fmt.Sprintf("%s.%d", jb.sub.ID, tsk.step),
-		Avoid: slices.Clone(tsk.avoid), JobBegun: jb.begun, Bounce: how.Bounce, Followed: how.Followed, At: how.At, RunsFor: how.RunsFor,
+		Arrived: jb.arrived, Due: jb.aim, UsefulUntil: jb.useful,
+		ExpectedRunTime: stp.Expected, Label: stp.Label, Rack: stp.Rack,
+		MaxPerServer: stp.PerServer, Step: fmt.Sprintf("%s.%d", jb.sub.ID, tsk.step),
+		Avoid: slices.Clone(tsk.avoid), JobStarted: jb.begun, ReturnIfBusy: how.ReturnIfBusy, Reassigned: how.Reassigned, LastServer: how.LastServer, MayRunFor: how.MayRunFor,
 	}})
 }
 
@@ -301,7 +301,7 @@
 		return dsk.take() // The order has gone to another leader since.
 	}
 	switch rep.Outcome {
-	case shard.Begun:
+	case shard.Started:
 		tsk.begun, tsk.job.begun, tsk.server = true, true, rep.Server
 		if tsk.job.doomed {
 			dsk.endDoomed(tsk.job)
@@ -315,7 +315,7 @@
 			tsk.bounces++
 			dsk.full(tsk.shard)
 		}
-		if rep.Hopeless && dsk.hopeless(tsk) {
+		if rep.TooLate && dsk.hopeless(tsk) {
 			dsk.callBack(tsk.job)
 			return dsk.take()
 		}
--- a/internal/request/submission/desk_test.go
+++ b/internal/request/submission/desk_test.go
@@ -44,14 +44,14 @@
 		domain = own
 	}
 	bch.did(bch.dsk.SetLeader(tgt, domain))
-	bch.did(bch.dsk.SetLoad(name, shard.Load{Number: token, Turnover: 1_000_000, Free: free(room), LinkWindow: 1 << 20}))
+	bch.did(bch.dsk.SetLoad(name, shard.Load{Number: token, ServiceRate: 1_000_000, Free: free(room), LinkWindow: 1 << 20}))
 }
 
 // longQueue tells that tasks wait in a shard for half a second.
 func (bch *bench) longQueue(name shard.Name, number int64) {
-	lod := shard.Load{Number: number, Turnover: 1_000_000, LinkWindow: 1 << 20}
-	for rnk := range lod.Waits {
-		lod.Waits[rnk] = 500 * time.Millisecond
+	lod := shard.Load{Number: number, ServiceRate: 1_000_000, LinkWindow: 1 << 20}
+	for rnk := range lod.RankWaits {
+		lod.RankWaits[rnk] = 500 * time.Millisecond
 	}
 	bch.did(bch.dsk.SetLoad(name, lod))
 }
@@ -84,11 +84,11 @@
 		case Place:
 			how := ""
 			switch {
-			case act.Order.Bounce:
+			case act.Order.ReturnIfBusy:
 				how = " bounce"
 			case act.Order.Recall:
 				how = " recall"
-			case act.Order.Followed:
+			case act.Order.Reassigned:
 				how = " followed"
 			}
 			txts = append(txts, fmt.Sprintf("place %s at %s%s", act.Order.Task, act.Target.Leader, how))
@@ -144,7 +144,7 @@
 				bch.lead("b.0", false, other, 2, 0)
 				bch.submit(1, "j", 2)
 				bch.longQueue("a.0", 2)
-				bch.did(bch.dsk.SetLoad("b.0", shard.Load{Number: 3, Turnover: 1_000_000, Free: free(2), LinkWindow: 1 << 20}))
+				bch.did(bch.dsk.SetLoad("b.0", shard.Load{Number: 3, ServiceRate: 1_000_000, Free: free(2), LinkWindow: 1 << 20}))
 			},
 			want: []string{
 				"place j.0.0.0 at self/1 bounce", "place j.0.0.1 at self/1", "place j.0.0.1 at self/1 recall",
@@ -276,7 +276,7 @@
 				bch.lead("a.0", true, self, 1, 0)
 				bch.lead("b.0", false, other, 2, 0)
 				bch.submit(1, "j", 1)
-				bch.did(bch.dsk.SetLoad("b.0", shard.Load{Number: 9, Turnover: 1_000_000, Free: free(1), LinkWindow: 1 << 20}))
+				bch.did(bch.dsk.SetLoad("b.0", shard.Load{Number: 9, ServiceRate: 1_000_000, Free: free(1), LinkWindow: 1 << 20}))
 			},
 			want: []string{"place j.0.0.0 at self/1"},
 		},
@@ -286,8 +286,8 @@
 				bch.lead("b.0", false, other, 2, 0)
 				bch.submit(1, "j", 1)
 				bch.longQueue("a.0", 8)
-				bch.did(bch.dsk.SetLoad("b.0", shard.Load{Number: 9, Turnover: 1_000_000, Free: free(1), LinkWindow: 1 << 20}))
-				bch.did(bch.dsk.SetLoad("b.0", shard.Load{Number: 9, Turnover: 1_000_000, Free: free(1), LinkWindow: 1 << 20}))
+				bch.did(bch.dsk.SetLoad("b.0", shard.Load{Number: 9, ServiceRate: 1_000_000, Free: free(1), LinkWindow: 1 << 20}))
+				bch.did(bch.dsk.SetLoad("b.0", shard.Load{Number: 9, ServiceRate: 1_000_000, Free: free(1), LinkWindow: 1 << 20}))
 				bch.report(self, 1, task, shard.NotRun)
 			},
 			want: []string{"place j.0.0.0 at self/1", "place j.0.0.0 at self/1 recall", "place j.0.0.0 at other/2 bounce"},
--- a/internal/request/submission/hopeless_test.go
+++ b/internal/request/submission/hopeless_test.go
@@ -13,7 +13,7 @@
 // A job of which a task is known to be hopeless waits on, though nothing of it has begun; or one that has begun is given up.
 func TestHopelessJob(t *testing.T) {
 	hopeless := func(bch *bench, task string) {
-		bch.did(bch.dsk.Report(bch.now, self, shard.Report{Task: task, Token: 1, Outcome: shard.NotRun, Hopeless: true}))
+		bch.did(bch.dsk.Report(bch.now, self, shard.Report{Task: task, Token: 1, Outcome: shard.NotRun, TooLate: true}))
 	}
 	cases := map[string]struct {
 		story func(bch *bench)
@@ -33,7 +33,7 @@
 				bch.lead("a.0", true, self, 1, 0)
 				bch.submit(1, "j", 2)
 				hopeless(bch, "j.0.0.0")
-				bch.report(self, 1, "j.0.0.1", shard.Begun)
+				bch.report(self, 1, "j.0.0.1", shard.Started)
 			},
 			want: []string{"place j.0.0.0 at self/1", "place j.0.0.1 at self/1", "place j.0.0.1 at self/1 recall", "place j.0.0.0 at self/1"},
 		},
@@ -41,7 +41,7 @@
 			story: func(bch *bench) {
 				bch.lead("a.0", true, self, 1, 1)
 				bch.submit(1, "j", 2)
-				bch.report(self, 1, "j.0.0.0", shard.Begun)
+				bch.report(self, 1, "j.0.0.0", shard.Started)
 				hopeless(bch, "j.0.0.1")
 			},
 			want: []string{"place j.0.0.0 at self/1 bounce", "place j.0.0.1 at self/1", "place j.0.0.1 at self/1"},
@@ -73,7 +73,7 @@
 		bch.waits(0, 0, 0)
 		bch.submit(Call(num), id, 1)
 		bch.did(bch.dsk.SetLoad("a.0", busy(int64(100+num))))
-		bch.did(bch.dsk.Report(bch.now, self, shard.Report{Task: id + ".0.0.0", Token: 1, Outcome: shard.NotRun, Hopeless: true}))
+		bch.did(bch.dsk.Report(bch.now, self, shard.Report{Task: id + ".0.0.0", Token: 1, Outcome: shard.NotRun, TooLate: true}))
 		rep, ok := bch.acts[len(bch.acts)-1].(Reply)
 		chk.True(ok)
 		chk.Equal(rep.Answer.Result, NotRun)
@@ -85,7 +85,7 @@
 
 // busy returns the load of a shard in which work that is in time waits for four seconds.
 func busy(number int64) shard.Load {
-	lod := shard.Load{Number: number, Turnover: 1_000_000, LinkWindow: 1 << 20}
-	lod.Waits[0] = 4 * time.Second
+	lod := shard.Load{Number: number, ServiceRate: 1_000_000, LinkWindow: 1 << 20}
+	lod.RankWaits[0] = 4 * time.Second
 	return lod
 }
