--- a/internal/request/shard/action.go
+++ b/internal/request/shard/action.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Name names a shard: a part of a failure domain's backend servers.
+// Name identifies a shard: a part of a failure domain's backend servers.
 type Name string
 
-// Action is something that the shell does for a Leader: StartRun, StopRun, Hold, PauseServer or Tell.
+// Action is a side effect that the caller carries out for a Leader: StartRun, StopRun, Renew, QuarantineServer or SendReport.
 type Action interface{ action() }
 
-// StartRun orders a run; its verdict goes to Started.
+// StartRun asks a backend server to start a run; its result goes to Leader.HandleStartResult.
 type StartRun struct {
 	Server  ServerEntry
 	Run     RunID
@@ -18,97 +18,101 @@
 	LeaseUntil time.Duration
 }
 
-// StopRun orders the end of a run; its verdict goes to Stopped.
+// StopRun asks a backend server to stop a run; its result goes to Leader.HandleStopResult.
 type StopRun struct {
 	Server ServerEntry
 	Run    RunID
 	Token  int64
 }
 
-// Renew looks at a server and, with a positive Until, renews its lease; what comes of it goes to Looked.
+// Renew asks a server for its runs and ends and, if LeaseUntil is positive, extends its leases; its result goes to
+// Leader.HandleRenewResult.
 type Renew struct {
 	Server ServerEntry
 	Token  int64
-	AckedSeq   int64
-	LeaseUntil  time.Duration
-	WaitForEnd   time.Duration
-	// Number names the look; it goes back with its answer.
+	// AckedSeq is the highest sequence number of an end that the leader has handled.
+	AckedSeq int64
+	// LeaseUntil is the end of the extended leases on the server's clock; 0 extends none.
+	LeaseUntil time.Duration
+	// WaitForEnd is how long the server may hold the call until a run ends.
+	WaitForEnd time.Duration
+	// Number identifies the renewal among those of its server.
 	Number int64
-	// Delay is how long to wait before the order is sent.
+	// Delay is how long to wait before the call is sent.
 	Delay time.Duration
 }
 
-// SendReport passes a report to the owner of an order.
+// SendReport sends a report to the owner of an order.
 type SendReport struct {
 	Owner  InstanceID
 	Report Report
 }
 
-// QuarantineServer tells that a server gets nothing for a while, as it is slow or fails what it runs.
+// QuarantineServer announces that a server gets no tasks for Duration, because it is slow or fails its runs.
 type QuarantineServer struct {
 	Server ServerID
 	Reason string
-	// Measure is what decided: how many times as long as elsewhere runs take, or how many submissions failed in a row.
-	Measure float64
-	Duration   time.Duration
+	// Measure is the value behind the decision: run time over expected run time, or the number of submissions that failed in a row.
+	Measure  float64
+	Duration time.Duration
 }
 
 func (QuarantineServer) action() {}
-func (StartRun) action()    {}
-func (StopRun) action()     {}
-func (Renew) action()        {}
-func (SendReport) action()        {}
+func (StartRun) action()         {}
+func (StopRun) action()          {}
+func (Renew) action()            {}
+func (SendReport) action()       {}
 
-// Config has the times that a Leader works with.
+// Config holds the durations that a Leader works with.
 type Config struct {
-	// Lease is what a renewal grants: what runs at a backend server whose leader is gone ends that much later.
+	// Lease is the length of a lease: runs on a backend server whose leader is gone end that long after the last renewal.
 	Lease time.Duration
-	// RenewWait is how long a look waits for an end; leases are renewed that often.
+	// RenewWait is how long a renewal waits on the server for a run to end, and so the interval of renewals.
 	RenewWait time.Duration
-	// TakeoverWait bounds how long a new leader waits for the owners of what it finds running.
+	// TakeoverWait is the longest time a new leader waits for orders for the runs that it finds.
 	TakeoverWait time.Duration
-	// StopRetryDelay is the pause before a stop without an answer is repeated.
+	// StopRetryDelay is the delay before a stop without an answer is repeated.
 	StopRetryDelay time.Duration
-	// StopTimeout is how long a stop may stay without an answer before its server's lease is left to lapse.
+	// StopTimeout is how long a stop may stay without an answer before the server's leases are no longer renewed.
 	StopTimeout time.Duration
-	// OrphanExpiry is the least time for which a task of a former leader may still run that was not found; its owner may know of more.
+	// OrphanExpiry is the least time for which an orphaned task that was not found may still run; Order.MayRunFor may extend it.
 	OrphanExpiry time.Duration
-	// ConfirmTimeout is for how long no server may show that it obeys the leader; an idle one is looked at once a second.
+	// ConfirmTimeout is how long the leader may go without a server that confirms its token; an idle server is called once a second.
 	ConfirmTimeout time.Duration
-	// OwnerTimeout is how long after its owner was last heard an order may start: no longer than until the owner is missed, as
-	// it starts the task elsewhere some time after that.
+	// OwnerTimeout is how long after its owner was last heard an order may start. It must not exceed the time until other instances take
+	// the owner for lost, as the task is started elsewhere some time after that.
 	OwnerTimeout time.Duration
-	// StallTimeout is how long the progress of a run may stand still.
+	// StallTimeout is how long a run may make no progress.
 	StallTimeout time.Duration
-	// InitialQuarantine is the first pause of a server that fails what it runs; it doubles up to MaxQuarantine.
+	// InitialQuarantine is the first quarantine of a server that fails its runs; each further one is twice as long, up to MaxQuarantine.
 	InitialQuarantine, MaxQuarantine time.Duration
 }
 
-// clockSkew is how much slower than true a backend server's clock may run (2%, the platform's pages).
+// clockSkew is how many times slower than true time a backend server's clock may run (2%, from the platform's documentation).
 const clockSkew = 1.02
 
-// DefaultConfig returns the times that keep the chain of leases under 1.3 s, after which a caller that
-// lost its connection sends its job again (docs/notes/platform.md has the sum).
+// DefaultConfig returns durations that keep the chain of leases under 1.3 s, after which a caller that lost its connection submits its
+// job again (docs/notes/platform.md has the sum).
 func DefaultConfig() Config {
 	return Config{
-		Lease:         600 * time.Millisecond,
-		RenewWait:          200 * time.Millisecond,
-		TakeoverWait:        120 * time.Millisecond,
-		StopRetryDelay:     20 * time.Millisecond,
-		StopTimeout:  100 * time.Millisecond,
-		OrphanExpiry:         850 * time.Millisecond,
-		ConfirmTimeout:  2 * time.Second,
-		OwnerTimeout:  450 * time.Millisecond,
-		StallTimeout:         350 * time.Millisecond,
-		InitialQuarantine:    time.Second,
-		MaxQuarantine: 8 * time.Second,
+		Lease:             600 * time.Millisecond,
+		RenewWait:         200 * time.Millisecond,
+		TakeoverWait:      120 * time.Millisecond,
+		StopRetryDelay:    20 * time.Millisecond,
+		StopTimeout:       100 * time.Millisecond,
+		OrphanExpiry:      850 * time.Millisecond,
+		ConfirmTimeout:    2 * time.Second,
+		OwnerTimeout:      450 * time.Millisecond,
+		StallTimeout:      350 * time.Millisecond,
+		InitialQuarantine: time.Second,
+		MaxQuarantine:     8 * time.Second,
 	}
 }
 
-// Expiry is how long after its last renewal was sent a lease has ended by any clock.
+// Expiry returns the time from sending a lease's last extension until the lease has ended by any clock and its runs are over.
 func (cfg Config) Expiry() time.Duration {
 	return time.Duration(float64(cfg.Lease)*clockSkew) + lapseMargin
 }
 
-// lapseMargin covers the way of a renewal to the server and the kill there (50 ms, the platform's pages).
+// lapseMargin covers a renewal's way to the server and the kill there (50 ms, from the platform's documentation).
 const lapseMargin = 60 * time.Millisecond
--- a/internal/request/shard/closed.go
+++ b/internal/request/shard/closed.go
@@ -2,18 +2,17 @@
 
 import "time"
 
-// SetClosed tells the leader whether the failure domain of its servers is closed to new work. What runs there finishes; what waits goes
-// back to its owners, who order it elsewhere.
+// SetClosed sets whether the failure domain of the shard is closed to new work. While it is, runs finish and waiting orders are returned to
+// their owners, which send them to other leaders.
 //
-// It answers an operator who empties a failure domain while it is full: orders left in its queues until it opens again would run into
-// their callers' deadlines.
+// This lets an operator empty a full failure domain: orders left in its queues until it opens again would miss their deadlines.
 func (ldr *Leader) SetClosed(now time.Time, closed bool) []Action {
 	ldr.closed = closed
 	ldr.advance(now, nil)
-	return ldr.take()
+	return ldr.takeActions()
 }
 
-// RunsWhileClosed returns how many runs are still there of a closed shard, 0 of an open one.
+// RunsWhileClosed returns how many runs a closed shard still has; 0 for an open one.
 func (ldr *Leader) RunsWhileClosed() int {
 	num := 0
 	if ldr.closed {
@@ -24,12 +23,12 @@
 	return num
 }
 
-// turnAway gives back all waiting orders but those that may still run here.
-func (ldr *Leader) turnAway(now time.Time) {
+// returnWaiting returns all waiting orders to their owners, except reassigned ones whose task may still run here.
+func (ldr *Leader) returnWaiting(now time.Time) {
 	for _, ord := range ldr.que.orders {
 		if !ord.Reassigned || !now.Before(ord.notBefore) {
-			ldr.bounce(ord)
+			ldr.returnOrder(ord)
 		}
 	}
-	ldr.que.dropIf(func(ord *order) bool { return ldr.orders[ord.Task] != ord })
+	ldr.que.removeIf(func(ord *order) bool { return ldr.orders[ord.Task] != ord })
 }
--- a/internal/request/shard/desk_test.go
+++ b/internal/request/shard/desk_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// desk drives a Leader by hand and notes what it does.
-type desk struct {
+// harness calls a Leader's event methods and records the actions that they return.
+type harness struct {
 	t    *testing.T
 	ldr  *Leader
 	now  time.Time
@@ -20,64 +20,66 @@
 	size  = 14000
 )
 
-func listed(id string, processor int64) ServerEntry {
+func serverEntry(id string, processor int64) ServerEntry {
 	return ServerEntry{ID: ServerID(id), Service: "render", Processor: processor, Memory: 1000}
 }
 
-// newDesk returns the leader of servers that have all obeyed it and run nothing, with its take-over complete.
-func newDesk(t *testing.T, ents ...ServerEntry) *desk {
-	dsk := &desk{t: t, now: time.Unix(1000, 0)}
-	dsk.ldr = NewLeader(DefaultConfig(), NewUplink(0), "a.0", 9, dsk.now)
-	dsk.did(dsk.ldr.SetServers(dsk.now, Listing{Listed: ents}))
+// newHarness returns a Leader whose takeover is complete and whose servers have all confirmed it and run nothing.
+func newHarness(t *testing.T, ents ...ServerEntry) *harness {
+	har := &harness{t: t, now: time.Unix(1000, 0)}
+	har.ldr = NewLeader(DefaultConfig(), NewUplink(0), "a.0", 9, har.now)
+	har.record(har.ldr.SetServers(har.now, Listing{Listed: ents}))
 	for _, ent := range ents {
-		dsk.look(ent.ID, RenewResult{Clock: time.Minute})
+		har.answerRenewal(ent.ID, RenewResult{Clock: time.Minute})
 	}
-	dsk.pass(DefaultConfig().TakeoverWait)
-	dsk.acts = nil
-	return dsk
+	har.advance(DefaultConfig().TakeoverWait)
+	har.acts = nil
+	return har
 }
 
-func (dsk *desk) did(acts []Action) { dsk.acts = append(dsk.acts, acts...) }
+func (har *harness) record(acts []Action) { har.acts = append(har.acts, acts...) }
 
-// pass lets time pass.
-func (dsk *desk) pass(dur time.Duration) {
-	for end := dsk.now.Add(dur); dsk.now.Before(end); {
-		dsk.now = dsk.now.Add(10 * time.Millisecond)
-		dsk.did(dsk.ldr.Tick(dsk.now))
+// advance moves the time forward in steps of 10 ms, with a Tick at each.
+func (har *harness) advance(dur time.Duration) {
+	for end := har.now.Add(dur); har.now.Before(end); {
+		har.now = har.now.Add(10 * time.Millisecond)
+		har.record(har.ldr.Tick(har.now))
 	}
 }
 
-func (dsk *desk) look(id ServerID, look RenewResult) { dsk.lookFrom(id, dsk.now, look, Accepted) }
+func (har *harness) answerRenewal(id ServerID, ans RenewResult) {
+	har.answerRenewalSentAt(id, har.now, ans, Accepted)
+}
 
-// lookFrom answers the newest look at a server, which was sent at a time.
-func (dsk *desk) lookFrom(id ServerID, sent time.Time, look RenewResult, vdt CallResult) {
-	dsk.did(dsk.ldr.HandleRenewResult(dsk.now, sent, dsk.newest(id), look, vdt))
+// answerRenewalSentAt answers the newest renewal of a server as if it had been sent at sent.
+func (har *harness) answerRenewalSentAt(id ServerID, sent time.Time, ans RenewResult, res CallResult) {
+	har.record(har.ldr.HandleRenewResult(har.now, sent, har.newestRenewal(id), ans, res))
 }
 
-func (dsk *desk) newest(id ServerID) Renew {
-	srv := dsk.ldr.servers[id]
-	return Renew{Server: srv.ent, Number: srv.looks}
+func (har *harness) newestRenewal(id ServerID) Renew {
+	srv := har.ldr.servers[id]
+	return Renew{Server: srv.ent, Number: srv.renewals}
 }
 
-// place orders tasks that need the same and returns where each was started, "" for those that wait.
-func (dsk *desk) place(priority int, tasks ...string) map[string]ServerID {
+// place sends orders for tasks of one size and returns the server on which each task was started; waiting tasks are not in it.
+func (har *harness) place(priority int, tasks ...string) map[string]ServerID {
 	for _, tsk := range tasks {
-		dsk.did(dsk.ldr.HandleOrder(dsk.now, dsk.order(priority, tsk)))
+		har.record(har.ldr.HandleOrder(har.now, har.order(priority, tsk)))
 	}
-	return dsk.starts()
+	return har.starts()
 }
 
-func (dsk *desk) order(priority int, task string) Order {
+func (har *harness) order(priority int, task string) Order {
 	return Order{
 		Task: task, Owner: owner, Service: "render", Processor: size, Memory: 10, Priority: priority,
-		Arrived: dsk.now, Due: dsk.now.Add(time.Second), UsefulUntil: dsk.now.Add(3 * time.Second),
+		Arrived: har.now, Due: har.now.Add(time.Second), UsefulUntil: har.now.Add(3 * time.Second),
 		ExpectedRunTime: 100 * time.Millisecond, Step: strings.Split(task, ".")[0],
 	}
 }
 
-func (dsk *desk) starts() map[string]ServerID {
+func (har *harness) starts() map[string]ServerID {
 	got := map[string]ServerID{}
-	for _, act := range dsk.acts {
+	for _, act := range har.acts {
 		if str, ok := act.(StartRun); ok {
 			got[str.Run.Task] = str.Server.ID
 		}
@@ -85,20 +87,20 @@
 	return got
 }
 
-func (dsk *desk) started(task string, vdt CallResult) RunID {
-	for _, act := range slices.Backward(dsk.acts) {
+func (har *harness) answerStart(task string, res CallResult) RunID {
+	for _, act := range slices.Backward(har.acts) {
 		if str, ok := act.(StartRun); ok && str.Run.Task == task {
-			dsk.ldr.link.HandleStartResult(str.Payload, time.Millisecond, vdt)
-			dsk.did(dsk.ldr.HandleStartResult(dsk.now, str.Server.ID, str.Run, vdt, time.Minute))
+			har.ldr.link.HandleStartResult(str.Payload, time.Millisecond, res)
+			har.record(har.ldr.HandleStartResult(har.now, str.Server.ID, str.Run, res, time.Minute))
 			return str.Run
 		}
 	}
-	dsk.t.Fatalf("task %s was not started", task)
+	har.t.Fatalf("task %s was not started", task)
 	return RunID{}
 }
 
-// others lists what runs at a server besides one run.
-func (dsk *desk) others(srv *server, but RunID) []Progress {
+// otherRuns lists the runs of a server except one.
+func (har *harness) otherRuns(srv *server, but RunID) []Progress {
 	var prgs []Progress
 	for rid := range srv.runs {
 		if rid != but {
@@ -108,9 +110,9 @@
 	return prgs
 }
 
-func (dsk *desk) count(match func(act Action) bool) int {
+func (har *harness) count(match func(act Action) bool) int {
 	num := 0
-	for _, act := range dsk.acts {
+	for _, act := range har.acts {
 		if match(act) {
 			num++
 		}
@@ -118,22 +120,22 @@
 	return num
 }
 
-func (dsk *desk) reports(out Outcome) int {
-	return dsk.count(func(act Action) bool {
-		tel, ok := act.(SendReport)
-		return ok && tel.Report.Outcome == out
+func (har *harness) reports(out Outcome) int {
+	return har.count(func(act Action) bool {
+		snd, ok := act.(SendReport)
+		return ok && snd.Report.Outcome == out
 	})
 }
 
-func (dsk *desk) stops() int {
-	return dsk.count(func(act Action) bool {
+func (har *harness) stops() int {
+	return har.count(func(act Action) bool {
 		_, ok := act.(StopRun)
 		return ok
 	})
 }
 
-func (dsk *desk) looks() int {
-	return dsk.count(func(act Action) bool {
+func (har *harness) renewals() int {
+	return har.count(func(act Action) bool {
 		_, ok := act.(Renew)
 		return ok
 	})
--- a/internal/request/shard/events.go
+++ b/internal/request/shard/events.go
@@ -2,79 +2,78 @@
 
 import "time"
 
-// HandleStartResult tells what came of a StartRun; clock is the server's, if it answered.
-func (ldr *Leader) HandleStartResult(now time.Time, id ServerID, rid RunID, vdt CallResult, clock time.Duration) []Action {
+// HandleStartResult handles the result of a StartRun; clock is the server's clock, or 0 if it did not answer.
+func (ldr *Leader) HandleStartResult(now time.Time, id ServerID, rid RunID, res CallResult, clock time.Duration) []Action {
 	srv, rn := ldr.find(id, rid)
 	if srv != nil {
-		if clock > 0 { // Else there was no answer.
+		if clock > 0 {
 			srv.setClock(now, clock)
 		}
-		ldr.noteAnswer(srv, vdt)
+		ldr.noteAnswer(srv, res)
 	}
 	if rn == nil || !rn.acceptedAt.IsZero() {
 		ldr.advance(now, nil)
-		return ldr.take()
+		return ldr.takeActions()
 	}
-	switch vdt {
+	switch res {
 	case Accepted:
-		ldr.accepted(now, srv, rn)
+		ldr.noteAccepted(now, srv, rn)
 	case Unknown:
-		ldr.unanswered(now, srv, rn)
+		ldr.retryStart(now, srv, rn)
 	case Fenced:
-		ldr.fenced(srv)
+		ldr.dropFenced(srv)
 	case Replaced:
-		ldr.replaced(now, srv)
+		ldr.dropReplaced(now, srv)
 	case Refused, OverCapacity:
 		if rn.repeats > 0 {
-			// An earlier try may have run, and may have ended meanwhile or be on its way to: the next look tells.
-			ldr.accepted(now, srv, rn)
+			// An earlier attempt may have run, and may have ended since or still be on its way: the next renewal shows it.
+			ldr.noteAccepted(now, srv, rn)
 			break
 		}
-		ldr.refused(now, srv, rn)
+		ldr.requeueRefused(now, srv, rn)
 	}
 	ldr.advance(now, srv)
-	return ldr.take()
+	return ldr.takeActions()
 }
 
-// unanswered deals with a start that got no answer: it is sent again, as the same run, which a server starts once however
-// often it is told. Where three answers in ten are lost for 6 s, callers get 0.70 of what they would on a sound day, and 0.16 where each
-// loss costs a stop, its proof and a new run.
+// retryStart sends a start that got no answer again, with the same run ID, which a server starts at most once. With 30% of answers lost for
+// 6 s, callers get 0.70 of their normal results; they get 0.16 if each loss costs a stop, the proof that the run is over, and a new run.
 //
-// A server that answers none of them may carry the start out seconds later. A stop that is accepted proves that it doesn't.
-func (ldr *Leader) unanswered(now time.Time, srv *server, rn *run) {
-	if rn.state != starting || rn.repeats >= startRepeats || rn.ord == nil || srv.state != held || ldr.closed {
-		ldr.stop(now, srv, rn)
+// A server that answers no attempt may still carry the start out seconds later. Only an accepted stop proves that it won't.
+func (ldr *Leader) retryStart(now time.Time, srv *server, rn *run) {
+	if rn.state != starting || rn.repeats >= startRepeats || rn.ord == nil || srv.state != confirmed || ldr.closed {
+		ldr.stopRun(now, srv, rn)
 		return
 	}
 	rn.repeats++
 	ldr.sendStart(now, srv, rn)
 }
 
-// startRepeats leaves one start in 37 without an answer where three in ten are lost, and finds a dark server out within
-// the time of three calls.
+// startRepeats leaves one start in 37 without an answer when 30% are lost, and detects an unreachable server within the time of three
+// calls.
 const startRepeats = 2
 
-// refused takes back a task that a server would not start. It may know a higher number of that task from
-// another leader, whose clock is ahead; and a server that refuses must not be asked in a tight loop.
-func (ldr *Leader) refused(now time.Time, srv *server, rn *run) {
+// requeueRefused queues a task again that a server refused to start. The server may have seen a higher run number for it from a
+// leader whose clock is ahead, so the number jumps; the delay prevents a tight loop of refusals.
+func (ldr *Leader) requeueRefused(now time.Time, srv *server, rn *run) {
 	if ord := rn.ord; ord != nil {
-		ord.mayHaveRun = !rn.first || rn.repeats > 0
-		ord.notBefore = now.Add(refusalPause)
+		ord.mayHaveRun = !rn.firstStart || rn.repeats > 0
+		ord.notBefore = now.Add(refusalDelay)
 		ord.runNumber += runNumberJump
 		ord.Avoid = append(ord.Avoid, srv.ent.ID)
 	}
-	ldr.gone(now, srv, rn)
+	ldr.requeue(now, srv, rn)
 }
 
 const (
-	// refusalPause is about what a start takes to and fro, ten times over.
-	refusalPause = 20 * time.Millisecond
-	// runNumberJump is more than the clocks of two machines differ by, in milliseconds.
+	// refusalDelay is about ten times the round trip of a start.
+	refusalDelay = 20 * time.Millisecond
+	// runNumberJump exceeds the difference between two machines' clocks, in milliseconds.
 	runNumberJump = 1 << 16
 )
 
-// accepted notes that a server has a run, or has had it; one that is to end stays so.
-func (ldr *Leader) accepted(now time.Time, srv *server, rn *run) {
+// noteAccepted records that a server has, or had, a run. A run that is being stopped stays in that state.
+func (ldr *Leader) noteAccepted(now time.Time, srv *server, rn *run) {
 	rn.acceptedAt, rn.progressAt = now, now
 	if rn.state != starting {
 		return
@@ -84,90 +83,90 @@
 	ldr.report(rn.ord, Started, 0)
 }
 
-// HandleStopResult tells what came of a StopRun.
-func (ldr *Leader) HandleStopResult(now time.Time, id ServerID, rid RunID, vdt CallResult) []Action {
+// HandleStopResult handles the result of a StopRun.
+func (ldr *Leader) HandleStopResult(now time.Time, id ServerID, rid RunID, res CallResult) []Action {
 	srv, rn := ldr.find(id, rid)
 	if rn == nil {
-		return ldr.take()
+		return ldr.takeActions()
 	}
 	rn.stopping = false
-	switch vdt {
+	switch res {
 	case Accepted:
-		rn.stopped = now
-		// A look that is in progress began before the stop and proves nothing; it may wait for long.
-		srv.lookAt, srv.looking, srv.pause = now, false, false
+		rn.stopAcceptedAt = now
+		// A renewal in progress was sent before the stop, so it proves nothing, and it may wait for long: send another at once.
+		srv.renewAt, srv.renewing, srv.delayNext = now, false, false
 	case Fenced:
-		ldr.fenced(srv)
+		ldr.dropFenced(srv)
 	case Replaced:
-		ldr.replaced(now, srv)
+		ldr.dropReplaced(now, srv)
 	default:
 		rn.stopDue = now.Add(ldr.cfg.StopRetryDelay)
 	}
 	ldr.advance(now, srv)
-	return ldr.take()
+	return ldr.takeActions()
 }
 
-// HandleRenewResult tells what came of a Hold that was sent at a time.
-func (ldr *Leader) HandleRenewResult(now, sent time.Time, act Renew, look RenewResult, vdt CallResult) []Action {
+// HandleRenewResult handles the result of the renewal act that was sent at sent.
+func (ldr *Leader) HandleRenewResult(now, sent time.Time, act Renew, ans RenewResult, res CallResult) []Action {
 	srv := ldr.servers[act.Server.ID]
 	if srv == nil {
-		return ldr.take()
+		return ldr.takeActions()
 	}
-	if act.Number != srv.looks {
-		// Another look was sent meanwhile; that one is followed by the next, or the looks would multiply.
-		if vdt == Accepted {
-			ldr.seen(now, srv, sent, look)
+	if act.Number != srv.renewals {
+		// A newer renewal was sent meanwhile. Only that one schedules the next, or the number of renewals would grow.
+		if res == Accepted {
+			ldr.applyRenewal(now, srv, sent, ans)
 			ldr.advance(now, nil)
 		}
-		return ldr.take()
+		return ldr.takeActions()
 	}
-	ldr.noteAnswer(srv, vdt)
-	srv.looking, srv.quick = false, false
-	srv.lookAt = now
-	srv.pause = len(look.Ended) > 0
-	switch vdt {
+	ldr.noteAnswer(srv, res)
+	srv.renewing, srv.proofPending = false, false
+	srv.renewAt = now
+	srv.delayNext = len(ans.Ended) > 0
+	switch res {
 	case Accepted:
-		ldr.seen(now, srv, sent, look)
-		if ldr.settled && srv.idle() {
-			srv.lookAt = now.Add(idlePause)
+		ldr.applyRenewal(now, srv, sent, ans)
+		if ldr.takeoverComplete && srv.idle() {
+			srv.renewAt = now.Add(idleRenewDelay)
 		}
 	case Fenced:
-		ldr.fenced(srv)
+		ldr.dropFenced(srv)
 	case Replaced:
-		ldr.replaced(now, srv)
+		ldr.dropReplaced(now, srv)
 	default:
-		ldr.unheard(now, srv)
+		ldr.noteMissedRenewal(now, srv)
 	}
 	ldr.advance(now, srv)
-	return ldr.take()
+	return ldr.takeActions()
 }
 
-// idlePause is the pause between looks at a server on which nothing runs: no lease needs renewal there, and a look only shows
-// that the server is there, and its clock.
-const idlePause = time.Second
+// idleRenewDelay is the delay between calls to a server without runs: it has no lease to renew, and they only show that the server is
+// there and what its clock says.
+const idleRenewDelay = time.Second
 
-// unheard notes that a look got no answer. One in twenty is lost on some days, so a held server is asked again
-// at once, without waiting for an end; taken for silent it would stand idle for half a second and its leases
-// would lapse, which took two fifths of the pool's room on such days.
-func (ldr *Leader) unheard(now time.Time, srv *server) {
-	srv.doubts++
-	if srv.state == held && srv.doubts < ldr.doubtsToSilence() {
+// noteMissedRenewal records a renewal without an answer. On some days 5% are lost, so a confirmed server is called again at once, without
+// waiting for an end. Taken for unreachable after one loss, it would idle for 0.5 s and its leases would expire, which took 40% of the
+// pool's capacity on such days.
+func (ldr *Leader) noteMissedRenewal(now time.Time, srv *server) {
+	srv.missed++
+	if srv.state == confirmed && srv.missed < ldr.missedUntilUnreachable() {
 		return
 	}
-	if srv.state == held {
-		srv.state = silent
+	if srv.state == confirmed {
+		srv.state = unreachable
 	}
-	srv.lookAt = now.Add(silentPause)
+	srv.renewAt = now.Add(unreachableRenewDelay)
 }
 
-// lookPause is the pause after a look that listed ends: the tasks of a submission end together, and what ends
-// within the pause comes with one look. On a day of jobs of 8 tasks of 60 ms it saves a quarter of
-// the looks, each of which costs the leader some 0.1 ms of processor time, and an answer waits 2 ms longer.
-const lookPause = 4 * time.Millisecond
+// renewDelay is the delay of a renewal after one that listed ends: the tasks of a submission end together, and ends within the delay are
+// listed by one renewal. For jobs of 8 tasks of 60 ms it saves a quarter of the renewals, at 0.1 ms of the leader's processor time each,
+// and makes answers 2 ms later.
+const renewDelay = 4 * time.Millisecond
 
-// silentPause is the pause before a server that did not answer is asked again; each asking costs a new
-// connection, and a server that is back must not stand idle for long.
-const silentPause = 250 * time.Millisecond
+// unreachableRenewDelay is the delay before an unreachable server is called again. Each call costs a new connection, but a server that is
+// back must not stay idle for long.
+const unreachableRenewDelay = 250 * time.Millisecond
 
 func (ldr *Leader) find(id ServerID, rid RunID) (*server, *run) {
 	srv := ldr.servers[id]
@@ -177,48 +176,48 @@
 	return srv, srv.runs[rid]
 }
 
-// seen takes in what a server lists.
-func (ldr *Leader) seen(now time.Time, srv *server, sent time.Time, look RenewResult) {
+// applyRenewal applies what a server listed in answer to a renewal that was sent at sent.
+func (ldr *Leader) applyRenewal(now time.Time, srv *server, sent time.Time, ans RenewResult) {
 	first := srv.state == claiming
-	srv.state = held
-	srv.doubts = 0
-	srv.obeyedAt, ldr.obeyedAt = sent, now
-	srv.setClock(now, look.Clock)
-	for _, end := range look.Ended {
-		if end.Seq > srv.seen {
-			srv.seen = end.Seq
-			ldr.ended(now, srv, end)
+	srv.state = confirmed
+	srv.missed = 0
+	srv.confirmedAt, ldr.confirmedAt = sent, now
+	srv.setClock(now, ans.Clock)
+	for _, end := range ans.Ended {
+		if end.Seq > srv.ackedSeq {
+			srv.ackedSeq = end.Seq
+			ldr.handleEnd(now, srv, end)
 		}
 	}
-	listed := make(map[RunID]bool, len(look.Running))
-	for _, prg := range look.Running {
+	listed := make(map[RunID]bool, len(ans.Running))
+	for _, prg := range ans.Running {
 		listed[prg.Run] = true
-		ldr.progress(now, srv, prg)
+		ldr.noteProgress(now, srv, prg)
 	}
 	for rid, rn := range srv.runs {
 		if listed[rid] || !rn.provenGone(sent) {
 			continue
 		}
-		ldr.gone(now, srv, rn)
+		ldr.requeue(now, srv, rn)
 	}
-	if first || ldr.que.anyFollowed() {
-		ldr.claimWaiting(now)
+	if first || ldr.que.anyReassigned() {
+		ldr.adoptWaiting(now)
 	}
-	if ldr.settled {
-		ldr.stopOrphans(now, srv)
+	if ldr.takeoverComplete {
+		ldr.stopUnclaimed(now, srv)
 	}
 }
 
-// provenGone reports whether a look that was sent at a time and does not list the run proves that it is
-// over: it was accepted before, or a stop was, after which it can't start any more.
+// provenGone reports whether a listing without the run, requested at sent, proves that the run is over: it does if the start was accepted
+// before, or a stop, after which the run can't start any more.
 func (rn *run) provenGone(sent time.Time) bool {
-	if !rn.stopped.IsZero() {
-		return sent.After(rn.stopped)
+	if !rn.stopAcceptedAt.IsZero() {
+		return sent.After(rn.stopAcceptedAt)
 	}
 	return !rn.acceptedAt.IsZero() && sent.After(rn.acceptedAt)
 }
 
-func (ldr *Leader) progress(now time.Time, srv *server, prg Progress) {
+func (ldr *Leader) noteProgress(now time.Time, srv *server, prg Progress) {
 	rn := srv.runs[prg.Run]
 	if rn == nil {
 		rn = &run{id: prg.Run, state: running, acceptedAt: now, sentAt: now, progressAt: now, percent: prg.Percent}
@@ -226,7 +225,7 @@
 		return
 	}
 	if rn.state == starting {
-		ldr.accepted(now, srv, rn)
+		ldr.noteAccepted(now, srv, rn)
 	}
 	if prg.Percent > rn.percent {
 		rn.percent, rn.progressAt = prg.Percent, now
@@ -234,34 +233,34 @@
 	ldr.checkProgress(now, srv, rn)
 }
 
-// giveUp stops a run because of its server and has its task start elsewhere.
-func (ldr *Leader) giveUp(now time.Time, srv *server, rn *run) {
+// restartElsewhere stops a run that is suspect because of its server; its task avoids that server from then on.
+func (ldr *Leader) restartElsewhere(now time.Time, srv *server, rn *run) {
 	rn.ord.Avoid = append(rn.ord.Avoid, srv.ent.ID)
-	ldr.failed(now, srv, rn.ord.submission())
-	ldr.stop(now, srv, rn)
+	ldr.noteFailure(now, srv, rn.ord.submission())
+	ldr.stopRun(now, srv, rn)
 }
 
-// failed notes a run that failed at a server. A submission that fails wherever it runs says nothing of the server, so
-// only failures of different submissions in a row count.
-func (ldr *Leader) failed(now time.Time, srv *server, submission string) {
-	if submission == srv.failedLast {
+// noteFailure counts a failed run of a submission against its server and quarantines the server after several. Only failures of different
+// submissions in a row count, as a submission that fails on every server says nothing about one of them.
+func (ldr *Leader) noteFailure(now time.Time, srv *server, submission string) {
+	if submission == srv.lastFailed {
 		return
 	}
-	srv.failing++
-	srv.failedLast = submission
-	if srv.failing < failuresToPause {
+	srv.failures++
+	srv.lastFailed = submission
+	if srv.failures < failuresToQuarantine {
 		return
 	}
-	pause := min(ldr.cfg.InitialQuarantine<<min(srv.failing-failuresToPause, maxDoublings), ldr.cfg.MaxQuarantine)
-	srv.pausedUntil = now.Add(pause)
-	ldr.do(QuarantineServer{
-		Server: srv.ent.ID, Reason: "server fails what it runs", Measure: float64(srv.failing), Duration: pause,
+	pause := min(ldr.cfg.InitialQuarantine<<min(srv.failures-failuresToQuarantine, maxDoublings), ldr.cfg.MaxQuarantine)
+	srv.quarantinedUntil = now.Add(pause)
+	ldr.emit(QuarantineServer{
+		Server: srv.ent.ID, Reason: "server fails what it runs", Measure: float64(srv.failures), Duration: pause,
 	})
 }
 
-// claimWaiting connects orders that came before the server listed what runs there, and lets those start of which it
-// is now known that they run nowhere.
-func (ldr *Leader) claimWaiting(now time.Time) {
+// adoptWaiting connects waiting reassigned orders to runs that servers have listed since, and lets the next placement handle those that
+// are now proven to run nowhere.
+func (ldr *Leader) adoptWaiting(now time.Time) {
 	kept := make([]*order, 0, len(ldr.que.orders))
 	for _, ord := range ldr.que.orders {
 		if ord.Reassigned && ldr.adopt(now, ord) {
@@ -270,22 +269,22 @@
 		if ord.Reassigned && ldr.runsNowhere(ord) {
 			ord.notBefore = time.Time{}
 		} else if ord.Reassigned {
-			ldr.hurryProof(now, ord)
+			ldr.requestProof(now, ord)
 		}
 		kept = append(kept, ord)
 	}
 	ldr.que.orders = kept
 }
 
-// ended deals with a run that a server lists as ended.
-func (ldr *Leader) ended(now time.Time, srv *server, end End) {
+// handleEnd handles a run that a server lists as ended: it reports the order's outcome or queues the order again.
+func (ldr *Leader) handleEnd(now time.Time, srv *server, end End) {
 	rn := srv.runs[end.Run]
 	if rn != nil {
 		srv.drop(rn)
 	}
 	if rn == nil || rn.ord == nil {
-		if ldr.listens(now) {
-			ldr.ends[end.Run.Task] = foundEnd{how: end.Kind, server: srv.ent.ID}
+		if ldr.adoptionOpen(now) {
+			ldr.unclaimedEnds[end.Run.Task] = foundEnd{kind: end.Kind, server: srv.ent.ID}
 		}
 		return
 	}
@@ -295,14 +294,14 @@
 	switch end.Kind {
 	case EndedDone:
 		srv.succeeded()
-		if !rn.blurred {
+		if !rn.spansPause {
 			ldr.noteRun(now.Sub(rn.sentAt))
 		}
-		ldr.observe(now, srv, rn, now.Sub(rn.sentAt))
+		ldr.observeRunTime(now, srv, rn, now.Sub(rn.sentAt))
 	case EndedFailed:
-		ldr.failed(now, srv, ord.submission())
+		ldr.noteFailure(now, srv, ord.submission())
 	case EndedStopped:
-		// A stop or a lapse says nothing of the server.
+		// A stop or an expired lease says nothing about the server.
 	}
 	switch {
 	case ord.cancelled:
@@ -321,8 +320,8 @@
 	ldr.report(ord, out, took)
 }
 
-// gone takes back an order whose run is proven to be over without an end that counts.
-func (ldr *Leader) gone(_ time.Time, srv *server, rn *run) {
+// requeue queues the order of a run again that is proven to be over without a listed end.
+func (ldr *Leader) requeue(_ time.Time, srv *server, rn *run) {
 	srv.drop(rn)
 	ord := rn.ord
 	if ord == nil {
@@ -336,31 +335,29 @@
 	ldr.que.push(ord)
 }
 
-// lapsed takes back all orders of a server whose lease has ended by any clock. A start that was never
-// answered may still be carried out: the run stays in the books, and no task goes to the server, until a
-// stop of it is accepted.
-func (ldr *Leader) lapsed(now time.Time, srv *server) {
+// expireLeases queues the orders of a server again whose leases have expired by any clock. A start without an answer may still be carried
+// out: that run stays counted as unclaimed, so that the server gets no task, until a stop is accepted.
+func (ldr *Leader) expireLeases(now time.Time, srv *server) {
 	for _, rn := range srv.runs {
 		ord := rn.ord
-		ldr.gone(now, srv, rn)
-		if ord != nil && rn.acceptedAt.IsZero() && rn.stopped.IsZero() {
+		ldr.requeue(now, srv, rn)
+		if ord != nil && rn.acceptedAt.IsZero() && rn.stopAcceptedAt.IsZero() {
 			rn.ord, rn.state = nil, ending
 			srv.add(rn)
 		}
 	}
 }
 
-// replaced drops a server in whose place another life answers: whatever ran is over.
-func (ldr *Leader) replaced(now time.Time, srv *server) {
+// dropReplaced drops a server whose address another incarnation has: all runs of the old one are over.
+func (ldr *Leader) dropReplaced(now time.Time, srv *server) {
 	for _, rn := range srv.runs {
-		ldr.gone(now, srv, rn)
+		ldr.requeue(now, srv, rn)
 	}
 	delete(ldr.servers, srv.ent.ID)
 }
 
-// lose drops a server that obeys another leader. Its orders are the new leader's: their owners hear
-// that nothing is known of them here.
-func (ldr *Leader) lose(srv *server) {
+// dropServer drops a server that belongs to another leader and reports its orders as Lost: that leader may have their runs.
+func (ldr *Leader) dropServer(srv *server) {
 	for _, rn := range srv.runs {
 		if rn.ord == nil {
 			continue
@@ -373,8 +370,8 @@
 	delete(ldr.servers, srv.ent.ID)
 }
 
-// fenced drops a server that has shown that it obeys another leader.
-func (ldr *Leader) fenced(srv *server) {
-	ldr.lose(srv)
-	ldr.lost++
+// dropFenced drops a server that has accepted another leader's token, and counts it in lostServers.
+func (ldr *Leader) dropFenced(srv *server) {
+	ldr.dropServer(srv)
+	ldr.lostServers++
 }
--- a/internal/request/shard/hopeless.go
+++ b/internal/request/shard/hopeless.go
@@ -2,49 +2,49 @@
 
 import "time"
 
-// knownAfter is how long after a take-over a leader knows how fast its queue goes.
-const knownAfter = 10 * drainInterval
+// ratesKnownAfter is the time after a takeover from which the drain rates are reliable.
+const ratesKnownAfter = 10 * drainInterval
 
-// giveBackHopeless gives waiting orders back that would not be done while their answers are of use.
+// returnTooLateOrders returns waiting orders to their owners that would not be done while their answers are of use.
 //
-// It answers an overload. Owners admit by what leaders told them, each for itself, and more than fits; those who hear that only when
-// their time is over, two seconds later, could have gone elsewhere, and what the rest waits for is hidden behind them.
-// Orders of jobs of which a task has begun stay.
-func (ldr *Leader) giveBackHopeless(now time.Time) {
-	all := ldr.turnover()
-	if len(ldr.que.orders) == 0 || now.Sub(ldr.since) < knownAfter || all == 0 {
-		return // How fast the queue goes is not known; while no server answers, it is not known either.
+// This is for overload. Owners admit jobs independently, by the loads that leaders sent, and together may admit more than fits. Callers
+// that learn this only when their time is over, two seconds later, could have gone elsewhere, and their orders hide how long the rest
+// waits. Orders of started jobs stay.
+func (ldr *Leader) returnTooLateOrders(now time.Time) {
+	all := ldr.serviceRate()
+	if len(ldr.que.orders) == 0 || now.Sub(ldr.takeoverAt) < ratesKnownAfter || all == 0 {
+		return // The drain rates are not known yet, or no server answers.
 	}
 	ranked := ldr.ranked(now, func(*order) bool { return true })
 	ahead := 0.0
 	for rnk, ords := range ranked {
 		own := 0.0
-		rate := max(ldr.drn.rate[rnk], leastShare*all)
+		rate := max(ldr.rates.rate[rnk], minRateShare*all)
 		for _, ord := range ords {
 			wait := time.Duration(max(ahead/all, own/rate) * float64(time.Millisecond))
-			if ord.hopeless(now.Add(wait)) {
-				ldr.giveBack(ord)
+			if ord.tooLate(now.Add(wait)) {
+				ldr.returnTooLate(ord)
 				continue
 			}
 			ahead += float64(ord.Processor)
 			own += float64(ord.Processor)
 		}
 	}
-	ldr.que.dropIf(func(ord *order) bool { return ldr.orders[ord.Task] != ord })
+	ldr.que.removeIf(func(ord *order) bool { return ldr.orders[ord.Task] != ord })
 }
 
-// hopeless reports whether an order that would start at a time is of no use any more. What was of none when it came, as its caller had
-// sent it before or its route says no objective, was admitted for a lull and waits for one.
-func (ord *order) hopeless(start time.Time) bool {
+// tooLate reports whether an order that starts at start would be done too late to be of use. An order of no use on arrival, because its
+// caller had sent it before or its route has no objective, was admitted to wait for low load and is never too late.
+func (ord *order) tooLate(start time.Time) bool {
 	if ord.Reassigned || ord.jobBegun() || !ord.UsefulUntil.After(ord.Arrived) {
 		return false
 	}
 	return start.Add(ord.ExpectedRunTime).After(ord.UsefulUntil)
 }
 
-func (ldr *Leader) giveBack(ord *order) {
+func (ldr *Leader) returnTooLate(ord *order) {
 	delete(ldr.orders, ord.Task)
-	ldr.do(SendReport{Owner: ord.Owner, Report: Report{
+	ldr.emit(SendReport{Owner: ord.Owner, Report: Report{
 		Task: ord.Task, Token: ldr.token, Outcome: NotRun, MayHaveRun: ord.mayHaveRun, TooLate: true,
 	}})
 }
--- a/internal/request/shard/leader.go
+++ b/internal/request/shard/leader.go
@@ -4,100 +4,102 @@
 	"time"
 )
 
-// Leader decides for the backend servers of a shard from the moment when its instance takes the shard over.
-// It is not safe for concurrent use.
+// Leader decides which tasks start on the backend servers of one shard, which leases are renewed and which runs are stopped, from the
+// moment its instance takes the shard over. Each event method returns the actions to carry out. It is not safe for concurrent use.
 type Leader struct {
-	cfg     Config
-	link    *Uplink
-	name    Name
-	token   int64
-	since   time.Time
-	settled bool
-	// closed is set while the servers are to get no new work.
+	cfg              Config
+	link             *Uplink
+	name             Name
+	token            int64
+	takeoverAt       time.Time
+	takeoverComplete bool
+	// closed is set while the shard takes no new work.
 	closed  bool
 	servers map[ServerID]*server
 	orders  map[string]*order
 	que     queue
-	// heard is when each owner was last heard; the own instance is not in it.
-	heard map[InstanceID]time.Time
-	// quietUntil is until when nothing starts.
-	quietUntil time.Time
-	// ends are ends found at the take-over whose owners have not yet asked.
-	ends map[string]foundEnd
-	acts []Action
-	// steps has the times that tasks of each step took; old ones were dropped at stepsAt.
+	// ownersHeard is when each owner on another instance was last heard.
+	ownersHeard map[InstanceID]time.Time
+	// Nothing starts before noStartsUntil.
+	noStartsUntil time.Time
+	// unclaimedEnds holds, by task, ends listed during the takeover for which no order has come yet.
+	unclaimedEnds map[string]foundEnd
+	acts          []Action
+	// steps holds the run times of each step's tasks; old steps were last removed at stepsPrunedAt.
 	steps map[string]*siblings
-	drn   drain
-	// bias is the mean logarithm of how many times their estimate runs take.
-	bias float64
-	// meanRun is the mean time of runs.
-	meanRun time.Duration
-	stepsAt time.Time
-	// loads counts the loads that were told.
-	loads int64
-	// scratch is the memory that rounds of placing share.
-	scratch rooms
-	// whole is set once the list was read after the take-over: a former leader holds no server that it lacks.
-	whole bool
-	// dropped is set once a server was dropped at which another leader may run tasks.
-	dropped bool
-	// loss is the share of answers that are lost.
-	loss float64
-	// lost counts the servers that obey another leader.
-	lost int
-	// obeyedAt is when a server last showed that it obeys this leader, or the take-over.
-	obeyedAt time.Time
+	rates drainRates
+	// estimateBias is the running mean of ln(run time / estimated run time).
+	estimateBias float64
+	// meanRun is the running mean of run times.
+	meanRun       time.Duration
+	stepsPrunedAt time.Time
+	// loadNumber is the number of the last Load returned.
+	loadNumber int64
+	// freeBuf is reused by freeServers.
+	freeBuf freeServers
+	// listingComplete is set once a listing was read after the takeover: a former leader can hold no server that it lacks.
+	listingComplete bool
+	// droppedUnproven is set once a server was dropped on which another leader may still run tasks.
+	droppedUnproven bool
+	// lossRate is the running share of calls to backend servers that got no answer.
+	lossRate float64
+	// lostServers counts the servers that were dropped because they accepted another leader's token.
+	lostServers int
+	// confirmedAt is when a server last answered a renewal with this leader's token; at first the time of the takeover.
+	confirmedAt time.Time
 }
 
 type foundEnd struct {
-	how    EndKind
+	kind   EndKind
 	server ServerID
 }
 
-// NewLeader returns the leader of a shard that was taken over with a fencing token; link is the instance's.
+// NewLeader returns the leader of a shard that was taken over with a fencing token; link is shared by all leaders of the instance.
 func NewLeader(cfg Config, link *Uplink, name Name, token int64, now time.Time) *Leader {
 	return &Leader{
-		cfg: cfg, link: link, name: name, token: token, since: now, obeyedAt: now,
-		servers: map[ServerID]*server{}, orders: map[string]*order{}, ends: map[string]foundEnd{},
-		heard: map[InstanceID]time.Time{},
-		steps: map[string]*siblings{}, meanRun: firstRun, stepsAt: now,
+		cfg: cfg, link: link, name: name, token: token, takeoverAt: now, confirmedAt: now,
+		servers: map[ServerID]*server{}, orders: map[string]*order{}, unclaimedEnds: map[string]foundEnd{},
+		ownersHeard: map[InstanceID]time.Time{},
+		steps:       map[string]*siblings{}, meanRun: initialMeanRun, stepsPrunedAt: now,
 	}
 }
 
 // Name returns the shard's name.
 func (ldr *Leader) Name() Name { return ldr.name }
 
-// Token returns the fencing token that the leader took the shard over with.
+// Token returns the fencing token that the shard was taken over with.
 func (ldr *Leader) Token() int64 { return ldr.token }
 
-// TakeoverComplete reports whether the take-over is complete, so that tasks start.
-func (ldr *Leader) TakeoverComplete() bool { return ldr.settled }
+// TakeoverComplete reports whether the takeover is complete; no task starts before.
+func (ldr *Leader) TakeoverComplete() bool { return ldr.takeoverComplete }
 
-// AddOwners adds the owners of the orders that lie here to a set.
+// AddOwners adds the owner of each order that this leader has to set.
 func (ldr *Leader) AddOwners(set map[InstanceID]bool) {
 	for _, ord := range ldr.orders {
 		set[ord.Owner] = true
 	}
 }
 
-// LostServers returns how many servers the leader has lost to another one.
-func (ldr *Leader) LostServers() int { return ldr.lost }
+// LostServers returns how many servers were dropped because they accepted another leader's token.
+func (ldr *Leader) LostServers() int { return ldr.lostServers }
 
-// Unconfirmed reports whether no server has obeyed the leader for a while.
-func (ldr *Leader) Unconfirmed(now time.Time) bool { return now.Sub(ldr.obeyedAt) > ldr.cfg.ConfirmTimeout }
+// Unconfirmed reports whether no server has confirmed the leader's token for Config.ConfirmTimeout.
+func (ldr *Leader) Unconfirmed(now time.Time) bool {
+	return now.Sub(ldr.confirmedAt) > ldr.cfg.ConfirmTimeout
+}
 
-// take returns the actions that have gathered.
-func (ldr *Leader) take() []Action {
+// takeActions returns and clears the pending actions.
+func (ldr *Leader) takeActions() []Action {
 	acts := ldr.acts
 	ldr.acts = nil
 	return acts
 }
 
-func (ldr *Leader) do(act Action) { ldr.acts = append(ldr.acts, act) }
+func (ldr *Leader) emit(act Action) { ldr.acts = append(ldr.acts, act) }
 
-// SetServers tells the leader which servers the shard has.
+// SetServers replaces the listing of the shard's servers; it is called with each new listing.
 func (ldr *Leader) SetServers(now time.Time, lst Listing) []Action {
-	ldr.whole = ldr.whole || lst.ReadAt.After(ldr.since)
+	ldr.listingComplete = ldr.listingComplete || lst.ReadAt.After(ldr.takeoverAt)
 	listed := make(map[ServerID]bool, len(lst.Listed))
 	for _, ent := range lst.Listed {
 		listed[ent.ID] = true
@@ -112,70 +114,69 @@
 			continue
 		}
 		if _, elsewhere := lst.All[id]; elsewhere {
-			// It belongs to another shard now, whose leader raises the fence.
-			ldr.lose(srv)
-			ldr.dropped = true
+			// The server belongs to another shard now, whose leader raises its fencing token.
+			ldr.dropServer(srv)
+			ldr.droppedUnproven = true
 			continue
 		}
 		srv.unlisted = true
 	}
-	if !ldr.settled {
+	if !ldr.takeoverComplete {
 		ldr.claimMissing(now, lst.Missing)
 	}
 	for _, srv := range ldr.servers {
-		ldr.tend(now, srv)
+		ldr.maintain(now, srv)
 	}
-	ldr.claimWaiting(now)
+	ldr.adoptWaiting(now)
 	ldr.advance(now, nil)
-	return ldr.take()
+	return ldr.takeActions()
 }
 
-// ListingComplete reports whether the leader knows of every server that a former leader may hold.
-func (ldr *Leader) ListingComplete() bool { return ldr.whole }
+// ListingComplete reports whether a listing was read after the takeover, so that it has every server a former leader may hold.
+func (ldr *Leader) ListingComplete() bool { return ldr.listingComplete }
 
-// forget drops a server that has no entry and does not answer; what ran there goes back to the queue once its lease has
-// surely lapsed. The list forgets servers that live while the store is away, so one that answers its leader stays.
-func (ldr *Leader) forget(now time.Time, srv *server) {
-	if !srv.unlisted || srv.state == held || srv.state == claiming && now.Sub(ldr.since) < ldr.cfg.OrphanExpiry {
+// dropUnlisted drops an unlisted server that does not answer, once the leases of its runs have expired; its orders are queued again. A
+// confirmed server stays, because live servers go missing from the list while the store is unavailable.
+func (ldr *Leader) dropUnlisted(now time.Time, srv *server) {
+	if !srv.unlisted || srv.state == confirmed || srv.state == claiming && now.Sub(ldr.takeoverAt) < ldr.cfg.OrphanExpiry {
 		return
 	}
 	if len(srv.runs) > 0 && now.Before(srv.renewedAt.Add(ldr.cfg.Expiry())) {
 		return
 	}
-	ldr.lapsed(now, srv)
+	ldr.expireLeases(now, srv)
 	delete(ldr.servers, srv.ent.ID)
-	ldr.dropped = true
+	ldr.droppedUnproven = true
 }
 
-// HandleOrder takes an order. A task that the leader has already is left alone.
+// HandleOrder queues a new order, connects it to a run found at the takeover, or treats it as a repetition or recall of a known one.
 func (ldr *Leader) HandleOrder(now time.Time, req Order) []Action {
 	if old := ldr.orders[req.Task]; old != nil {
-		ldr.placeAgain(now, old, req)
+		ldr.handleRepeatedOrder(now, old, req)
 		ldr.advance(now, nil)
-		return ldr.take()
+		return ldr.takeActions()
 	}
 	if req.Recall {
-		return ldr.take()
+		return ldr.takeActions()
 	}
-	ord := &order{Order: req, cameAt: now, sib: ldr.siblings(now, req.Step)}
+	ord := &order{Order: req, receivedAt: now, siblings: ldr.siblings(now, req.Step)}
 	ldr.orders[req.Task] = ord
 	if !ldr.adopt(now, ord) {
 		if req.Reassigned && !ldr.runsNowhere(ord) {
 			ord.notBefore = now.Add(max(ldr.cfg.OrphanExpiry, req.MayRunFor))
-			ldr.hurryProof(now, ord)
+			ldr.requestProof(now, ord)
 		}
 		ldr.que.push(ord)
 	}
 	ldr.advance(now, nil)
-	return ldr.take()
+	return ldr.takeActions()
 }
 
-// placeAgain answers an order for a task that is here. From the same owner it is a repetition; from
-// another one, the caller sent its job again because the first owner lost it: the first run has to be
-// gone before the second starts.
-func (ldr *Leader) placeAgain(now time.Time, old *order, req Order) {
+// handleRepeatedOrder handles an order or recall for a task that the leader already has. An order from another owner means that the caller
+// submitted its job again after the first owner was lost: a run for the first owner must be over before the second starts.
+func (ldr *Leader) handleRepeatedOrder(now time.Time, old *order, req Order) {
 	if req.Recall && (old.Owner != req.Owner || old.cancelled) {
-		return // Another owner has the task now; a call-back has nothing of what an order says.
+		return // Another owner has the task now, and a recall lacks the other fields of an order.
 	}
 	if old.Owner == req.Owner && !old.cancelled {
 		old.ReturnIfBusy = req.ReturnIfBusy || req.Recall
@@ -190,47 +191,46 @@
 		ldr.que.push(old)
 		return
 	}
-	ldr.stop(now, old.srv, old.run)
-	// The size is the same task's; what the run takes up stays as it was counted.
+	ldr.stopRun(now, old.srv, old.run)
+	// Both orders describe the same task: the run keeps the size that was counted when it started.
 	req.Processor, req.Memory = old.Processor, old.Memory
 	old.Order, old.cancelled = req, false
 }
 
-// Cancel ends an order of an owner; nothing is reported of it.
+// Cancel ends an order of an owner and stops its run; no report is sent.
 func (ldr *Leader) Cancel(now time.Time, owner InstanceID, task string) []Action {
 	ord := ldr.orders[task]
 	if ord != nil && ord.Owner == owner {
-		ldr.cancel(now, ord)
+		ldr.cancelOrder(now, ord)
 	}
 	ldr.advance(now, nil)
-	return ldr.take()
+	return ldr.takeActions()
 }
 
-// HandleOwnerLost ends all orders of an instance that is not heard any more: its callers are sending their
-// jobs to other instances.
+// HandleOwnerLost cancels all orders of a lost instance, as its callers submit their jobs again to other instances.
 func (ldr *Leader) HandleOwnerLost(now time.Time, owner InstanceID) []Action {
 	for _, ord := range ldr.orders {
 		if ord.Owner == owner {
-			ldr.cancel(now, ord)
+			ldr.cancelOrder(now, ord)
 		}
 	}
-	delete(ldr.heard, owner)
+	delete(ldr.ownersHeard, owner)
 	ldr.advance(now, nil)
-	return ldr.take()
+	return ldr.takeActions()
 }
 
-func (ldr *Leader) cancel(now time.Time, ord *order) {
+func (ldr *Leader) cancelOrder(now time.Time, ord *order) {
 	if ord.run == nil {
 		ldr.que.remove(ord)
 		delete(ldr.orders, ord.Task)
 		return
 	}
 	ord.cancelled = true
-	ldr.stop(now, ord.srv, ord.run)
+	ldr.stopRun(now, ord.srv, ord.run)
 }
 
-// stop has a run ended; its room stays taken until the server shows that it is gone.
-func (ldr *Leader) stop(now time.Time, srv *server, rn *run) {
+// stopRun sends the first stop of a run. The run keeps its capacity until the server shows that it is over.
+func (ldr *Leader) stopRun(now time.Time, srv *server, rn *run) {
 	if rn.state == ending {
 		return
 	}
@@ -241,7 +241,7 @@
 
 func (ldr *Leader) sendStop(srv *server, rn *run) {
 	rn.stopping = true
-	ldr.do(StopRun{Server: srv.ent, Run: rn.id, Token: ldr.token})
+	ldr.emit(StopRun{Server: srv.ent, Run: rn.id, Token: ldr.token})
 }
 
 func (ldr *Leader) report(ord *order, out Outcome, took time.Duration) {
@@ -249,11 +249,11 @@
 	if ord.srv != nil {
 		rep.Server = ord.srv.ent.ID
 	}
-	ldr.do(SendReport{Owner: ord.Owner, Report: rep})
+	ldr.emit(SendReport{Owner: ord.Owner, Report: rep})
 }
 
-// Resign gives the shard up: owners learn that waiting orders have not run and that the rest is in the hands of the next
-// leader. So is an order that lay with an earlier leader and waits for the proof that it runs nowhere.
+// Resign gives up the shard and all orders. It reports orders that never started here as NotRun, and the others, which the next leader may
+// let run on, as Lost. Lost are also reassigned orders, as it is not proven that they run nowhere.
 func (ldr *Leader) Resign() []Action {
 	for _, ord := range ldr.orders {
 		switch {
@@ -266,107 +266,108 @@
 	}
 	clear(ldr.orders)
 	ldr.que.orders = nil
-	return ldr.take()
+	return ldr.takeActions()
 }
 
-// Tick does what is due by time alone.
+// Tick does what is due at now: renewals, repeated stops, expired leases, and returns of orders that would end too late.
 func (ldr *Leader) Tick(now time.Time) []Action {
 	for _, srv := range ldr.servers {
-		ldr.tend(now, srv)
-		ldr.forget(now, srv)
+		ldr.maintain(now, srv)
+		ldr.dropUnlisted(now, srv)
 	}
-	ldr.forgetSteps(now)
-	if !ldr.listens(now) {
-		clear(ldr.ends)
+	ldr.pruneSteps(now)
+	if !ldr.adoptionOpen(now) {
+		clear(ldr.unclaimedEnds)
 	}
-	ldr.drn.update(now, ldr.turnover(), ldr.meanRun, ldr.waiting(now))
-	ldr.giveBackHopeless(now)
+	ldr.rates.update(now, ldr.serviceRate(), ldr.meanRun, ldr.waiting(now))
+	ldr.returnTooLateOrders(now)
 	ldr.advance(now, nil)
-	return ldr.take()
+	return ldr.takeActions()
 }
 
-// advance is the part that follows every event: settle, look after the server that it concerns, place.
+// advance ends the handling of each event: it completes the takeover if possible, maintains srv if it is not nil, and starts waiting tasks.
 func (ldr *Leader) advance(now time.Time, srv *server) {
-	if !ldr.settled {
-		ldr.settle(now)
+	if !ldr.takeoverComplete {
+		ldr.completeTakeover(now)
 	}
 	if srv != nil && ldr.servers[srv.ent.ID] == srv {
-		ldr.tend(now, srv)
+		ldr.maintain(now, srv)
 	}
-	if ldr.settled {
+	if ldr.takeoverComplete {
 		ldr.place(now)
 	}
 }
 
-// tend looks after one server: repeats stops, finds runs that stand still, renews and looks.
-func (ldr *Leader) tend(now time.Time, srv *server) {
+// maintain repeats the stops that are due on a server, restarts stalled runs elsewhere, expires leases and sends the next renewal.
+func (ldr *Leader) maintain(now time.Time, srv *server) {
 	for _, rn := range srv.runs {
-		if rn.state == ending && rn.stopped.IsZero() && !rn.stopping && !now.Before(rn.stopDue) {
+		if rn.state == ending && rn.stopAcceptedAt.IsZero() && !rn.stopping && !now.Before(rn.stopDue) {
 			ldr.sendStop(srv, rn)
 		}
 		if ldr.stalled(now, srv, rn) {
-			ldr.giveUp(now, srv, rn)
+			ldr.restartElsewhere(now, srv, rn)
 		}
 	}
-	if srv.state != held && len(srv.runs) > 0 && !now.Before(srv.renewedAt.Add(ldr.cfg.Expiry())) {
-		ldr.lapsed(now, srv)
+	if srv.state != confirmed && len(srv.runs) > 0 && !now.Before(srv.renewedAt.Add(ldr.cfg.Expiry())) {
+		ldr.expireLeases(now, srv)
 	}
-	// A server that has listed what runs there is not looked at again before the take-over is complete: a look
-	// that renews nothing would return at once, over and over.
-	due := srv.state != held || ldr.settled
-	if due && !srv.looking && !now.Before(srv.lookAt) {
-		ldr.look(now, srv)
+	// Before the takeover is complete, a confirmed server is not called again: without a lease to extend, the call returns at once and
+	// would be repeated in a tight loop.
+	due := srv.state != confirmed || ldr.takeoverComplete
+	if due && !srv.renewing && !now.Before(srv.renewAt) {
+		ldr.renew(now, srv)
 	}
 }
 
-// stalled reports whether the progress of a run stands still. The server has to have said so since: a leader that got no processor, or no
-// answer, for a while has seen no progress either.
+// stalled reports whether a run made no progress for Config.StallTimeout. The server must have answered since the last progress: a
+// paused leader, or one that got no answers, has seen no progress either.
 func (ldr *Leader) stalled(now time.Time, srv *server, rn *run) bool {
 	if rn.state != running || rn.ord == nil || rn.percent >= percents || now.Sub(rn.progressAt) <= ldr.cfg.StallTimeout {
 		return false
 	}
-	return srv.obeyedAt.Sub(rn.progressAt) > ldr.cfg.StallTimeout-ldr.cfg.RenewWait
+	return srv.confirmedAt.Sub(rn.progressAt) > ldr.cfg.StallTimeout-ldr.cfg.RenewWait
 }
 
-func (ldr *Leader) look(now time.Time, srv *server) {
-	act := Renew{Server: srv.ent, Token: ldr.token, AckedSeq: srv.seen}
-	if srv.state == held && ldr.settled {
+func (ldr *Leader) renew(now time.Time, srv *server) {
+	act := Renew{Server: srv.ent, Token: ldr.token, AckedSeq: srv.ackedSeq}
+	if srv.state == confirmed && ldr.takeoverComplete {
 		switch {
-		case srv.quick:
-			// It waits for nothing.
+		case srv.proofPending:
+			// The call returns at once: an order waits for it.
 		case srv.idle():
-			// There is no end to wait for.
-		case srv.awaitsProof():
-			srv.pause = true // A stop takes its time.
-		case srv.doubts == 0:
-			act.WaitForEnd = ldr.lookWait(now, srv)
+			// No run can end.
+		case srv.hasAcceptedStop():
+			srv.delayNext = true // The stopped run takes a moment to end.
+		case srv.missed == 0:
+			act.WaitForEnd = ldr.renewWait(now, srv)
 		}
-		if !srv.unanswered(now, ldr.cfg.StopTimeout) {
-			act.LeaseUntil = srv.until(now, ldr.cfg.Lease)
+		if !srv.hasOverdueStop(now, ldr.cfg.StopTimeout) {
+			act.LeaseUntil = srv.leaseUntil(now, ldr.cfg.Lease)
 			srv.renewedAt = now
 		}
 	}
-	if srv.pause && !srv.quick {
-		act.Delay, srv.pause = lookPause, false
+	if srv.delayNext && !srv.proofPending {
+		act.Delay, srv.delayNext = renewDelay, false
 	}
-	srv.looks++
-	act.Number = srv.looks
-	srv.looking, srv.lookAt = true, now
-	ldr.do(act)
+	srv.renewals++
+	act.Number = srv.renewals
+	srv.renewing, srv.renewAt = true, now
+	ldr.emit(act)
 }
 
-// lookWait returns how long a look waits for an end. That it was lost shows only after that, and what ended meanwhile waits for
-// the next one; so looks wait for less where many are lost, and end when a run becomes suspicious.
-func (ldr *Leader) lookWait(now time.Time, srv *server) time.Duration {
+// renewWait returns how long a renewal waits on the server for a run to end. A lost renewal is noticed only after this wait, and runs that
+// ended meanwhile are reported by the next one: so the wait is shorter at a high loss rate, and ends when a run becomes suspect of being
+// slow.
+func (ldr *Leader) renewWait(now time.Time, srv *server) time.Duration {
 	wait := ldr.cfg.RenewWait
 	if ldr.lossy() {
-		wait = min(wait, lossyWait)
+		wait = min(wait, lossyRenewWait)
 	}
-	if due, found := ldr.nextDoubt(now, srv); found {
-		wait = min(wait, max(due, leastDoubtWait))
+	if due, found := ldr.nextSuspicion(now, srv); found {
+		wait = min(wait, max(due, minSuspicionWait))
 	}
 	return wait
 }
 
-// lossyWait is the time of a call that is taken for lost: asking more often finds nothing out sooner.
-const lossyWait = 40 * time.Millisecond
+// lossyRenewWait is the time after which a call is taken for lost: a shorter wait would notice no loss sooner.
+const lossyRenewWait = 40 * time.Millisecond
--- a/internal/request/shard/loss.go
+++ b/internal/request/shard/loss.go
@@ -2,50 +2,50 @@
 
 import "math"
 
-// noteAnswer follows the share of answers that are lost on the way from servers that answered the last time: one that is gone
+// noteAnswer updates the loss rate with the result of a call to a server that answered the last renewal; a server that is gone thus
 // counts once.
-func (ldr *Leader) noteAnswer(srv *server, vdt CallResult) {
-	if srv.doubts > 0 {
+func (ldr *Leader) noteAnswer(srv *server, res CallResult) {
+	if srv.missed > 0 {
 		return
 	}
 	lost := 0.0
-	if vdt == Unknown {
+	if res == Unknown {
 		lost = 1
 	}
-	ldr.loss += lossWeight * (lost - ldr.loss)
+	ldr.lossRate += lossWeight * (lost - ldr.lossRate)
 }
 
-// lossy reports whether so many answers are lost that one that is missing says little of its server.
-func (ldr *Leader) lossy() bool { return ldr.loss > lossyShare }
+// lossy reports whether the loss rate is so high that one missing answer says little about its server.
+func (ldr *Leader) lossy() bool { return ldr.lossRate > lossyRate }
 
-// tolerance is how many looks in a row a server may leave without an answer and still get new work. Where few are lost, one is
-// a server that has gone dark; where three in ten are, most servers would be closed at any time.
-func (ldr *Leader) tolerance() int {
+// missedTolerated returns how many renewals in a row a server may miss and still get new tasks. At a low loss rate one miss means that the
+// server is gone; at 30% most servers would be closed at any time.
+func (ldr *Leader) missedTolerated() int {
 	if !ldr.lossy() {
 		return 0
 	}
-	return ldr.doubtsToSilence() / 2
+	return ldr.missedUntilUnreachable() / 2
 }
 
-// doubtsToSilence is how many looks in a row get no answer from a server that is gone, or one time in ten thousand from a
-// sound one by the share of answers that are lost.
-func (ldr *Leader) doubtsToSilence() int {
+// missedUntilUnreachable returns how many renewals in a row a server must miss to be taken for unreachable. At the current loss rate a
+// sound server misses that many once in ten thousand times.
+func (ldr *Leader) missedUntilUnreachable() int {
 	if !ldr.lossy() {
-		return leastDoubts
+		return minMissed
 	}
-	num := int(math.Ceil(math.Log(falseSilence) / math.Log(min(ldr.loss, mostLoss))))
-	return max(num, leastDoubts)
+	num := int(math.Ceil(math.Log(falseUnreachable) / math.Log(min(ldr.lossRate, maxLossRate))))
+	return max(num, minMissed)
 }
 
 const (
-	// lossWeight makes the share follow some sixty answers, a third of a second of a small shard.
+	// lossWeight makes the loss rate follow about 60 answers, a third of a second of a small shard.
 	lossWeight = 1.0 / 64
-	// lossyShare lies between a sound day's losses, under one in a thousand, and the least of a day with trouble, one in
-	// twenty: a server that goes dark raises the share by a sixty-fourth.
-	lossyShare = 0.03
-	// leastDoubts at one loss in twenty is one time in eight thousand.
-	leastDoubts  = 3
-	falseSilence = 1e-4
-	// mostLoss keeps a server that is gone from being asked more than a dozen times.
-	mostLoss = 0.45
+	// lossyRate lies between the losses of a normal day, under one in a thousand, and the least of a day with trouble, one in twenty; a
+	// server that becomes unreachable raises the rate by a 64th.
+	lossyRate = 0.03
+	// minMissed renewals in a row are lost once in 8000 times at a loss rate of one in twenty.
+	minMissed        = 3
+	falseUnreachable = 1e-4
+	// maxLossRate bounds the calls to a server that is gone to about a dozen.
+	maxLossRate = 0.45
 )
--- a/internal/request/shard/owner.go
+++ b/internal/request/shard/owner.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// A process that got no processor for a second goes on as if nothing had happened: it finds room for what waits in its queue before
-// it finds out that the owners have given it up, and have the tasks run elsewhere. So an order starts only while its owner
-// was heard a short while ago by the clock, whichever event comes first.
+// A process that was paused for a second goes on as if no time had passed: it finds free capacity for its queue before it finds out that
+// the owners took it for lost and have the tasks run elsewhere. So an order starts only if its owner was heard recently by the clock,
+// whichever event comes first.
 
-// HandleOwnerHeard tells the leader when another instance was last heard.
+// HandleOwnerHeard records when another instance was last heard.
 func (ldr *Leader) HandleOwnerHeard(owner InstanceID, at time.Time) {
-	if at.After(ldr.heard[owner]) {
-		ldr.heard[owner] = at
+	if at.After(ldr.ownersHeard[owner]) {
+		ldr.ownersHeard[owner] = at
 	}
 }
 
-// HandlePause tells the leader that its process came to nothing for a while. Nothing starts until a time, so that the sockets are read
-// first: callers may have left, and owners may have said that they start tasks elsewhere.
+// HandlePause handles a pause of this process. Nothing starts before until, so that the sockets are read first: callers may have left, and
+// owners may have reported that they start tasks elsewhere. Runs that span the pause are no evidence of speed.
 func (ldr *Leader) HandlePause(until time.Time) {
-	ldr.quietUntil = until
+	ldr.noStartsUntil = until
 	for _, srv := range ldr.servers {
 		for _, rn := range srv.runs {
-			rn.timed, rn.blurred = true, true
+			rn.timed, rn.spansPause = true, true
 		}
 	}
 }
 
-// ownerThere reports whether an order's owner still waits for it, as far as can be known.
-func (ldr *Leader) ownerThere(now time.Time, ord *order) bool {
-	at, other := ldr.heard[ord.Owner]
+// ownerHeardRecently reports whether an order's owner was heard within Config.OwnerTimeout, or is this instance.
+func (ldr *Leader) ownerHeardRecently(now time.Time, ord *order) bool {
+	at, other := ldr.ownersHeard[ord.Owner]
 	return !other || now.Sub(at) <= ldr.cfg.OwnerTimeout
 }
--- a/internal/request/shard/place.go
+++ b/internal/request/shard/place.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// place starts waiting tasks in the order of their ranks, each at the server with the least room that still takes it: what is
-// left over elsewhere then takes larger tasks (two tasks of half a server don't fit beside one of a third).
+// place starts waiting tasks by rank, each on the server with the least free processor that can take it. This leaves larger gaps for larger
+// tasks: two tasks of half a server don't fit beside one of a third.
 func (ldr *Leader) place(now time.Time) {
 	if ldr.closed {
-		ldr.turnAway(now)
+		ldr.returnWaiting(now)
 		return
 	}
-	if now.Before(ldr.quietUntil) {
+	if now.Before(ldr.noStartsUntil) {
 		return
 	}
-	rms := ldr.rooms(now)
-	if !ldr.anyToPlace(rms) {
+	fss := ldr.freeServers(now)
+	if !ldr.anyToPlace(fss) {
 		return
 	}
 	ranked := ldr.ranked(now, func(ord *order) bool { return !now.Before(ord.notBefore) })
-	rnd := &round{rooms: rms}
-	rnd.most = rnd.rooms.most()
+	rnd := &placementRound{free: fss}
+	rnd.mostProcessor = rnd.free.most()
 	for rnk, ords := range ranked {
 		for _, ord := range ords {
 			ldr.placeOne(now, rnd, Rank(rnk), ord)
 		}
 	}
-	ldr.que.dropIf(func(ord *order) bool { return ord.run != nil || ldr.orders[ord.Task] != ord })
+	ldr.que.removeIf(func(ord *order) bool { return ord.run != nil || ldr.orders[ord.Task] != ord })
 }
 
-// ranked returns the waiting orders that are chosen, by rank and in their order.
+// ranked returns the waiting orders for which chosen returns true, by rank and in queue order.
 func (ldr *Leader) ranked(now time.Time, chosen func(ord *order) bool) [Ranks][]*order {
 	var rnks [Ranks][]*order
 	for _, ord := range ldr.que.orders {
@@ -42,66 +42,65 @@
 	return rnks
 }
 
-// anyToPlace reports whether a round of placing can do anything. While all servers are full, most events free none, and a
-// queue that is gone through at each of them is processor time for nothing.
-func (ldr *Leader) anyToPlace(rms rooms) bool {
-	most := rms.most()
+// anyToPlace reports whether a placement round can do anything. While all servers are full, most events free no capacity, and going through
+// the queue at each would waste processor time.
+func (ldr *Leader) anyToPlace(fss freeServers) bool {
+	most := fss.most()
 	return slices.ContainsFunc(ldr.que.orders, func(ord *order) bool {
 		return ord.ReturnIfBusy || ord.Reassigned || ord.Processor <= most
 	})
 }
 
-// round is what is known while waiting tasks are gone through.
-type round struct {
-	rooms rooms
-	// most is the largest free processor, ahead what those need that were passed by.
-	most, ahead int64
+// placementRound is the state of one pass over the waiting tasks.
+type placementRound struct {
+	free freeServers
+	// mostProcessor is the largest free processor of a server; processorAhead is the sum that the orders need that were passed over.
+	mostProcessor, processorAhead int64
 }
 
-// placeOne starts one task, leaves it in the queue or gives it back to its owner.
-func (ldr *Leader) placeOne(now time.Time, rnd *round, rnk Rank, ord *order) {
+// placeOne starts a task, leaves it in the queue or returns it to its owner.
+func (ldr *Leader) placeOne(now time.Time, rnd *placementRound, rnk Rank, ord *order) {
 	if ord.Reassigned {
-		ldr.bounce(ord) // It runs nowhere, and has no payload here.
+		ldr.returnOrder(ord) // The task runs nowhere, and the order has no payload.
 		return
 	}
-	if !ldr.ownerThere(now, ord) {
-		return // It is missed any moment, or heard again.
+	if !ldr.ownerHeardRecently(now, ord) {
+		return // The owner is about to be taken for lost, or is heard again soon.
 	}
 	if !ldr.link.Fits(ord.Payload) {
-		return // A short wait costs less than the way to another leader, with the payload.
+		return // A short wait costs less than sending the order, with its payload, to another leader.
 	}
-	if rom := rnd.rooms.best(ord, rnd.most); rom != nil {
-		rom.processor -= ord.Processor
-		rom.memory -= ord.Memory
-		if rom.srv.onTrial() {
-			rom.processor = 0 // It is on trial, with one task at a time.
+	if fsv := rnd.free.best(ord, rnd.mostProcessor); fsv != nil {
+		fsv.processor -= ord.Processor
+		fsv.memory -= ord.Memory
+		if fsv.srv.onTrial() {
+			fsv.processor = 0 // A server on trial gets one task at a time.
 		}
-		rnd.most = rnd.rooms.most()
-		ldr.drn.started[rnk] += float64(ord.Processor)
-		ldr.start(now, rom.srv, ord)
+		rnd.mostProcessor = rnd.free.most()
+		ldr.rates.started[rnk] += float64(ord.Processor)
+		ldr.start(now, fsv.srv, ord)
 		return
 	}
-	rnd.ahead += ord.Processor
-	if ord.ReturnIfBusy && float64(rnd.ahead) > ldr.turnover()*millis(bounceWait+bounceTimes*ldr.link.largest) {
-		ldr.bounce(ord)
+	rnd.processorAhead += ord.Processor
+	if ord.ReturnIfBusy && float64(rnd.processorAhead) > ldr.serviceRate()*millis(returnWait+returnLinkTimes*ldr.link.largestTime) {
+		ldr.returnOrder(ord)
 	}
 }
 
-// bounceWait is the expected wait from which on an order that was to start at once goes back to its owner. The way back and to
-// another leader takes some 2 ms of time, but 1 ms of processor time and its payload once more; in a pool of 20 tasks
-// of 200 ms one ends each 10 ms.
+// returnWait is the expected wait above which a ReturnIfBusy order goes back to its owner. Going to another leader takes some 2 ms, but
+// costs 1 ms of processor time and sends the payload once more. In a pool of 20 tasks of 200 ms one ends every 10 ms.
 const (
-	bounceWait = 20 * time.Millisecond
-	// bounceTimes is how often the largest payload's time on the link comes on top of that.
-	bounceTimes = 3
+	returnWait = 20 * time.Millisecond
+	// returnLinkTimes is how many transfer times of the largest payload are added to returnWait.
+	returnLinkTimes = 3
 )
 
-// turnover is how much processor comes free in a millisecond while all servers are busy, in thousandths of a core. What a
-// waiting task waits for is that others end, however long itself and those before it in the queue will run.
-func (ldr *Leader) turnover() float64 {
+// serviceRate returns how much processor comes free per millisecond while all servers are busy, in thousandths of a core. A waiting task
+// waits for running tasks to end, so its own run time and those of the tasks before it don't count.
+func (ldr *Leader) serviceRate() float64 {
 	var num int64
 	for _, srv := range ldr.servers {
-		if srv.usable() {
+		if srv.inService() {
 			num += srv.ent.Processor
 		}
 	}
@@ -110,25 +109,25 @@
 
 func millis(dur time.Duration) float64 { return float64(dur) / float64(time.Millisecond) }
 
-// noteRun takes the time of a run that has ended into the mean.
+// noteRun adds the time of a run to the running mean.
 func (ldr *Leader) noteRun(took time.Duration) {
-	ldr.meanRun += (max(took, time.Millisecond) - ldr.meanRun) / runWeight
+	ldr.meanRun += (max(took, time.Millisecond) - ldr.meanRun) / meanRunWeight
 }
 
 const (
-	// firstRun is taken for the mean time of runs until some have ended.
-	firstRun = 200 * time.Millisecond
-	// runWeight makes the mean follow some thirty runs, half a second of a small shard.
-	runWeight = 32
+	// initialMeanRun is used as the mean run time until some runs have ended.
+	initialMeanRun = 200 * time.Millisecond
+	// meanRunWeight makes the mean follow about 30 runs, which is 0.5 s of a small shard.
+	meanRunWeight = 32
 )
 
-// bounce gives an order back that is to wait nowhere.
-func (ldr *Leader) bounce(ord *order) {
+// returnOrder returns an order to its owner as NotRun.
+func (ldr *Leader) returnOrder(ord *order) {
 	delete(ldr.orders, ord.Task)
 	ldr.report(ord, NotRun, 0)
 }
 
-// QueuedBytes is what the queue will put on the link.
+// QueuedBytes returns how many bytes the starts of the waiting orders will send.
 func (ldr *Leader) QueuedBytes() int64 {
 	var num int64
 	for _, ord := range ldr.que.orders {
@@ -140,147 +139,147 @@
 }
 
 func (ldr *Leader) start(now time.Time, srv *server, ord *order) {
-	// A task's numbers must rise over all its leaders; the time of day does, and a leader that starts a
-	// task twice within a millisecond counts on.
+	// The run numbers of a task must rise across its leaders. The time of day does; a leader that starts a task twice within a millisecond
+	// adds one.
 	ord.runNumber = max(ord.runNumber+1, now.UnixMilli())
 	ldr.siblings(now, ord.Step).begun = true
-	rn := &run{id: RunID{Task: ord.Task, Number: ord.runNumber}, ord: ord, sentAt: now, first: !ord.mayHaveRun}
+	rn := &run{id: RunID{Task: ord.Task, Number: ord.runNumber}, ord: ord, sentAt: now, firstStart: !ord.mayHaveRun}
 	ord.mayHaveRun = true
 	srv.add(rn)
-	srv.lookAt = now // It may have been idle, and its next look far away.
+	srv.renewAt = now // The server may have been idle, with its next renewal far away.
 	ord.run, ord.srv = rn, srv
 	ldr.sendStart(now, srv, rn)
 }
 
 func (ldr *Leader) sendStart(now time.Time, srv *server, rn *run) {
 	srv.renewedAt = now
-	ldr.link.sent(rn.ord.Payload)
-	ldr.do(StartRun{
+	ldr.link.noteStart(rn.ord.Payload)
+	ldr.emit(StartRun{
 		Server: srv.ent, Run: rn.id, Payload: rn.ord.Payload, Token: ldr.token,
-		LeaseUntil: srv.until(now, ldr.cfg.Lease),
+		LeaseUntil: srv.leaseUntil(now, ldr.cfg.Lease),
 	})
 }
 
-// room is what a server has left during one round of placing.
-type room struct {
+// freeServer is what a server has left during one placement round.
+type freeServer struct {
 	srv               *server
 	processor, memory int64
 }
 
-type rooms []room
+type freeServers []freeServer
 
-// most returns the largest free processor: an order that needs more is passed over at once, as a queue may be
-// hundreds long while nothing is free.
-func (rms rooms) most() int64 {
+// most returns the largest free processor. Orders that need more are passed over at once, as a queue may hold hundreds while nothing is
+// free.
+func (fss freeServers) most() int64 {
 	var mst int64
-	for idx := range rms {
-		mst = max(mst, rms[idx].processor)
+	for idx := range fss {
+		mst = max(mst, fss[idx].processor)
 	}
 	return mst
 }
 
-func (ldr *Leader) rooms(now time.Time) rooms {
-	rms := ldr.scratch[:0]
+func (ldr *Leader) freeServers(now time.Time) freeServers {
+	fss := ldr.freeBuf[:0]
 	for _, srv := range ldr.servers {
-		if !srv.open(now, ldr.tolerance()) {
+		if !srv.acceptsTasks(now, ldr.missedTolerated()) {
 			continue
 		}
 		if prc, mem := srv.free(); prc > 0 {
-			rms = append(rms, room{srv: srv, processor: prc, memory: mem})
+			fss = append(fss, freeServer{srv: srv, processor: prc, memory: mem})
 		}
 	}
-	ldr.scratch = rms
-	return rms
+	ldr.freeBuf = fss
+	return fss
 }
 
-// best returns the room that suits an order most: away from servers where the task failed, on the rack
-// of its data, then the tightest.
-func (rms rooms) best(ord *order, most int64) *room {
+// best returns the best server for an order, or nil: it prefers servers where the task has not failed, then those on the rack of its data,
+// then the one with the least free processor.
+func (fss freeServers) best(ord *order, most int64) *freeServer {
 	if ord.Processor > most {
 		return nil
 	}
-	var bst *room
+	var bst *freeServer
 	var bstRank int
-	for idx := range rms {
-		rom := &rms[idx]
-		if rom.processor < ord.Processor || rom.memory < ord.Memory || !rom.srv.takes(ord) {
+	for idx := range fss {
+		fsv := &fss[idx]
+		if fsv.processor < ord.Processor || fsv.memory < ord.Memory || !fsv.srv.suits(ord) {
 			continue
 		}
-		rnk := rom.rank(ord)
-		if bst == nil || rnk < bstRank || rnk == bstRank && rom.tighter(bst) {
-			bst, bstRank = rom, rnk
+		rnk := fsv.rank(ord)
+		if bst == nil || rnk < bstRank || rnk == bstRank && fsv.tighter(bst) {
+			bst, bstRank = fsv, rnk
 		}
 	}
 	return bst
 }
 
-func (rom *room) rank(ord *order) int {
+func (fsv *freeServer) rank(ord *order) int {
 	rnk := 0
-	if slices.Contains(ord.Avoid, rom.srv.ent.ID) {
+	if slices.Contains(ord.Avoid, fsv.srv.ent.ID) {
 		rnk += 2
 	}
-	if ord.Rack != "" && !slices.Contains(rom.srv.ent.Labels, ord.Rack) {
+	if ord.Rack != "" && !slices.Contains(fsv.srv.ent.Labels, ord.Rack) {
 		rnk++
 	}
 	return rnk
 }
 
-func (rom *room) tighter(oth *room) bool {
-	if rom.processor != oth.processor {
-		return rom.processor < oth.processor
+func (fsv *freeServer) tighter(oth *freeServer) bool {
+	if fsv.processor != oth.processor {
+		return fsv.processor < oth.processor
 	}
-	return rom.srv.ent.ID < oth.srv.ent.ID
+	return fsv.srv.ent.ID < oth.srv.ent.ID
 }
 
-// Load is what a leader tells other instances of its room, so that they can choose a shard.
+// Load describes a shard's free capacity and expected waits; leaders send it to other instances, which choose a shard by it.
 type Load struct {
-	// Number rises with each load that a leader tells; the same number is the same news.
+	// Number rises with each Load that a leader returns; Loads with the same number are the same.
 	Number int64
-	// Free has the free processor, in thousandths of a core, of each server with some.
+	// Free lists the free processor of each server that has some, in thousandths of a core.
 	Free []int64
-	// ServiceRate is how much processor comes free in a second while all servers are busy, in thousandths of a core; Waits is
-	// how long one more task of each rank waits for room.
+	// ServiceRate is how much processor comes free per second while all servers are busy, in thousandths of a core. RankWaits is how long
+	// one more task of each rank would wait for free capacity.
 	ServiceRate int64
-	RankWaits    [Ranks]time.Duration
-	// LinkWindow are the bytes of starts that the leader's link takes at once, LinkBusy those that are under way or wait.
+	RankWaits   [Ranks]time.Duration
+	// LinkWindow is how many bytes of starts may be in flight on the leader's link, LinkBusy how many are in flight or wait.
 	LinkWindow, LinkBusy int64
-	// Closed shards take no new work; nothing is free there.
+	// Closed is set if the shard takes no new work; Free is empty then.
 	Closed bool
 }
 
-// CapacityWait estimates how long a task of a rank waits for room, behind some more that need so many thousandths of a core.
+// CapacityWait estimates how long a task of a rank waits for free capacity, behind others that need behind thousandths of a core.
 func (lod *Load) CapacityWait(rnk Rank, behind int64) time.Duration {
 	return lod.RankWaits[rnk] + time.Duration(float64(behind)/float64(max(lod.ServiceRate, 1))*float64(time.Second))
 }
 
-// LinkWait estimates how long a start of so many bytes waits for the leader's link.
+// LinkWait estimates how long a start of a number of bytes waits for the leader's link.
 func (lod *Load) LinkWait(bytes int64) time.Duration {
 	return linkDelay(lod.LinkWindow, lod.LinkBusy+bytes)
 }
 
-// Priorities is how many priorities are told apart; less urgent ones count as the last.
+// Priorities is the number of distinct priorities; a less urgent one counts as the last of them.
 const Priorities = 3
 
-// Load returns the room that is left.
+// Load returns the shard's free capacity and expected waits.
 func (ldr *Leader) Load(now time.Time) Load {
-	ldr.loads++
-	lod := Load{Number: ldr.loads, Closed: ldr.closed}
-	lod.LinkWindow, lod.LinkBusy = ldr.link.window, ldr.link.busy()+ldr.QueuedBytes()
-	trn := ldr.turnover()
-	lod.ServiceRate = int64(trn * millis(time.Second))
+	ldr.loadNumber++
+	lod := Load{Number: ldr.loadNumber, Closed: ldr.closed}
+	lod.LinkWindow, lod.LinkBusy = ldr.link.window, ldr.link.busyBytes()+ldr.QueuedBytes()
+	rate := ldr.serviceRate()
+	lod.ServiceRate = int64(rate * millis(time.Second))
 	for _, srv := range ldr.servers {
-		if ldr.closed || !srv.open(now, ldr.tolerance()) {
+		if ldr.closed || !srv.acceptsTasks(now, ldr.missedTolerated()) {
 			continue
 		}
 		if prc, _ := srv.free(); prc > 0 {
 			lod.Free = append(lod.Free, prc)
 		}
 	}
-	lod.RankWaits = ldr.drn.waits(trn, ldr.waiting(now))
+	lod.RankWaits = ldr.rates.waits(rate, ldr.waiting(now))
 	return lod
 }
 
-// waiting returns what the tasks in the queue need, in thousandths of a core, by rank.
+// waiting returns how much processor the waiting orders of each rank need, in thousandths of a core.
 func (ldr *Leader) waiting(now time.Time) [Ranks]int64 {
 	var wrk [Ranks]int64
 	for _, ord := range ldr.que.orders {
--- a/internal/request/shard/queue.go
+++ b/internal/request/shard/queue.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// order is an Order on its way.
+// order is an Order with the leader's state of it.
 type order struct {
 	Order
-	// run is set while the order is placed.
+	// run is set while the order has a run.
 	run *run
-	// sib is what is known of the other tasks of its step; every round of placing asks for it.
-	sib *siblings
-	srv *server
-	// cameAt is when the order came here.
-	cameAt time.Time
-	// notBefore is set for a task that may still run at a server that has not yet obeyed this leader.
+	// siblings is the record of its step's run times, kept here because each placement round needs it.
+	siblings *siblings
+	srv      *server
+	// receivedAt is when the order came to this leader.
+	receivedAt time.Time
+	// notBefore is the earliest time to start the task; for a reassigned order, until when it may still run for another leader.
 	notBefore time.Time
 	// mayHaveRun is set once a start was sent that a server may have carried out.
 	mayHaveRun bool
@@ -25,17 +25,16 @@
 	runNumber  int64
 }
 
-// jobBegun reports whether another task of the job may have begun, here or elsewhere.
-func (ord *order) jobBegun() bool { return ord.JobStarted || ord.sib != nil && ord.sib.begun }
+// jobBegun reports whether another task of the job may have started, in this shard or another.
+func (ord *order) jobBegun() bool { return ord.JobStarted || ord.siblings != nil && ord.siblings.begun }
 
-// submission returns the part of a task's name that names its submission.
+// submission returns the submission's part of the task's name.
 func (ord *order) submission() string {
 	sub, _, _ := strings.Cut(ord.Task, ".")
 	return sub
 }
 
-// compare puts orders into the order in which they are to start: by priority, then by arrival, so that
-// the tasks of a submission, whose answer waits for the last of them, start together.
+// compare orders by priority, then by arrival, so that the tasks of a submission start together: its answer needs the last of them.
 func compare(one, two *order) int {
 	return cmp.Or(
 		cmp.Compare(one.Priority, two.Priority),
@@ -44,7 +43,7 @@
 	)
 }
 
-// queue has the orders that wait, in order.
+// queue holds the waiting orders, sorted by compare.
 type queue struct{ orders []*order }
 
 func (que *queue) push(ord *order) {
@@ -59,12 +58,12 @@
 	}
 }
 
-// anyFollowed reports whether an order waits that lay with an earlier leader.
-func (que *queue) anyFollowed() bool {
+// anyReassigned reports whether a reassigned order waits.
+func (que *queue) anyReassigned() bool {
 	return slices.ContainsFunc(que.orders, func(ord *order) bool { return ord.Reassigned })
 }
 
-// dropIf removes the orders of which a condition holds.
-func (que *queue) dropIf(gone func(ord *order) bool) {
+// removeIf removes the orders for which gone returns true.
+func (que *queue) removeIf(gone func(ord *order) bool) {
 	que.orders = slices.DeleteFunc(que.orders, gone)
 }
--- a/internal/request/shard/rank.go
+++ b/internal/request/shard/rank.go
@@ -2,41 +2,40 @@
 
 import "time"
 
-// A Rank is the turn of a waiting task: by priority, and within one those whose answer can still be in time before those whose
-// answer will be late. What is of no use to its caller any more comes after all others, whatever its priority.
+// Rank is a waiting task's place in the starting order, by priority, and within a priority tasks that can still be in time before those
+// that will be late. Tasks whose answer is of no use any more come last, whatever their priority.
 //
-// It answers the load of a burst that needs more than there is, and of the second after a loss of power, when jobs that
-// were cut off come again beside new ones. In the order of arrival alone, every caller waits behind those who are late
-// already, and all get late answers; so the late ones wait for the lull, and most callers see no delay.
+// This is for bursts above capacity, and for the second after a loss of power, when interrupted jobs are submitted again beside
+// new ones. In order of arrival every caller would wait behind tasks that are late already, and all answers would be late. Instead the late
+// tasks wait until the load falls, and most callers see no delay.
 type Rank int
 
-// Ranks is how many ranks there are.
+// Ranks is the number of ranks.
 const Ranks = 2*Priorities + 1
 
-// overdue is the last rank.
-const overdue Rank = Ranks - 1
+// uselessRank is the last rank, for tasks whose answer is of no use any more.
+const uselessRank Rank = Ranks - 1
 
-// RankOf returns the rank of work of a priority that would be done at a time, is due at another one and is of use for a while
-// after that.
-func RankOf(priority int, done, aim, useful time.Time) Rank {
+// RankOf returns the rank of work of a priority that would be done at done, is due at due and is of use until usefulUntil.
+func RankOf(priority int, done, due, usefulUntil time.Time) Rank {
 	rnks := RanksOf(priority)
 	switch {
-	case !done.After(aim):
+	case !done.After(due):
 		return rnks[0]
-	case !done.After(useful):
+	case !done.After(usefulUntil):
 		return rnks[1]
 	}
 	return rnks[2]
 }
 
-// RanksOf returns the ranks in which work of a priority may wait, the first first: in time, late and of no use.
+// RanksOf returns the three ranks in which work of a priority may wait: in time, late and of no use.
 func RanksOf(priority int) [3]Rank {
 	pri := Rank(min(max(priority, 0), Priorities-1))
-	return [...]Rank{2 * pri, 2*pri + 1, overdue}
+	return [...]Rank{2 * pri, 2*pri + 1, uselessRank}
 }
 
-// rank returns the turn of an order. A job that has begun is finished before others begin: left to its last task, all that
-// was done for it would be lost. So it is with one that has begun in another shard.
+// rank returns the rank of an order. A started job, in this shard or another, is finished before others start: if its last tasks waited,
+// the work done for it would be lost.
 func (ldr *Leader) rank(now time.Time, ord *order) Rank {
 	done := now.Add(ord.ExpectedRunTime)
 	if ord.jobBegun() && !done.After(ord.UsefulUntil) {
@@ -45,43 +44,43 @@
 	return RankOf(ord.Priority, done, ord.Due, ord.UsefulUntil)
 }
 
-// drain follows how fast the tasks of each rank start while some wait, so that the wait of one more is known: of a rank that is
-// passed by, few start, however large the pool is. It counts the processor that they need, in thousandths of a core.
-type drain struct {
-	// rate is what starts in a millisecond.
+// drainRates estimates how fast the waiting tasks of each rank start, and so how long one more would wait: a rank that others pass gets few
+// starts, however large the pool is. It counts the processor that the tasks need, in thousandths of a core.
+type drainRates struct {
+	// rate is the processor of the tasks that start per millisecond.
 	rate [Ranks]float64
-	// started and waited are since the last update.
+	// started is the processor of the tasks started since the last update, waited that of those waiting at the last update.
 	started, waited [Ranks]float64
 	at              time.Time
 }
 
 const (
-	// drainInterval is some ten ends of tasks in a small shard.
+	// drainInterval covers about ten ends of tasks in a small shard.
 	drainInterval = 50 * time.Millisecond
-	// stuckAfter is how many mean run times without a start are no pause between two ends any more.
-	stuckAfter = 3
+	// stuckRunTimes is how many mean run times may pass without a start before the queue counts as stuck.
+	stuckRunTimes = 3
 	// drainWeight makes a rate follow within four intervals, the time that callers of the shortest jobs wait.
 	drainWeight = 0.3
-	// leastShare of the turnover is taken for a rank's in the worst case: the wait stays finite.
-	leastShare = 0.01
+	// minRateShare is the least share of the service rate that a rank is assumed to have, which keeps its wait finite.
+	minRateShare = 0.01
 )
 
-// update takes in what has started and what waits; a rank of which nothing waited has all the turnover. While nothing starts at all,
-// as in a small shard of long runs, no rank is passed by, and the time counts with the next start.
-func (drn *drain) update(now time.Time, turnover float64, meanRun time.Duration, waiting [Ranks]int64) {
+// update adjusts the rates to what has started and what waits; a rank of which nothing waited has the whole service rate. While nothing
+// starts at all, as in a small shard of long runs, no rank is being passed, and the time counts towards the next start.
+func (drn *drainRates) update(now time.Time, serviceRate float64, meanRun time.Duration, waiting [Ranks]int64) {
 	if drn.at.IsZero() {
 		drn.at = now
 		for rnk := range drn.rate {
-			drn.rate[rnk] = turnover
+			drn.rate[rnk] = serviceRate
 		}
 	}
 	span := now.Sub(drn.at)
 	none := drn.started == [Ranks]float64{} && waiting != [Ranks]int64{}
-	if span < drainInterval || none && span < stuckAfter*meanRun {
+	if span < drainInterval || none && span < stuckRunTimes*meanRun {
 		return
 	}
 	for rnk := range drn.rate {
-		seen := turnover
+		seen := serviceRate
 		if drn.waited[rnk] > 0 && waiting[rnk] > 0 {
 			seen = min(seen, drn.started[rnk]/float64(span.Milliseconds()))
 		}
@@ -91,14 +90,14 @@
 	drn.at = now
 }
 
-// waits returns how long one more of each rank waits.
-func (drn *drain) waits(turnover float64, waiting [Ranks]int64) [Ranks]time.Duration {
+// waits returns how long one more task of each rank would wait.
+func (drn *drainRates) waits(serviceRate float64, waiting [Ranks]int64) [Ranks]time.Duration {
 	var wts [Ranks]time.Duration
-	all := max(turnover, 1)
+	all := max(serviceRate, 1)
 	ahead := 0.0
 	for rnk := range wts {
 		ahead += float64(waiting[rnk])
-		own := float64(waiting[rnk]) / max(drn.rate[rnk], leastShare*all)
+		own := float64(waiting[rnk]) / max(drn.rate[rnk], minRateShare*all)
 		wts[rnk] = time.Duration(max(ahead/all, own) * float64(time.Millisecond))
 	}
 	return wts
--- a/internal/request/shard/server.go
+++ b/internal/request/shard/server.go
@@ -5,77 +5,78 @@
 	"time"
 )
 
-// serverState says what is known of a backend server.
+// serverState says whether a backend server follows this leader.
 type serverState int
 
 const (
 	// claiming servers have not yet accepted the leader's fencing token.
 	claiming serverState = iota
-	// held servers obey the leader.
-	held
-	// silent servers obeyed and have stopped answering.
-	silent
+	// confirmed servers have accepted it and answer.
+	confirmed
+	// unreachable servers have accepted it and no longer answer.
+	unreachable
 )
 
-// server is a backend server as its leader sees it.
+// server is the leader's state of one backend server.
 type server struct {
 	ent   ServerEntry
 	state serverState
-	// unlisted servers have no entry now.
+	// unlisted servers have no entry in the list now.
 	unlisted bool
-	// runs is changed by add and drop only, which keep what they take up.
+	// runs is changed only by add and drop, which keep the used and unclaimed counts right.
 	runs                      map[RunID]*run
 	usedProcessor, usedMemory int64
-	orphans                   int
-	// seen is the highest end that was dealt with.
-	seen int64
-	// clock was the server's time at clockAt.
+	unclaimed                 int
+	// ackedSeq is the highest sequence number of an end that was handled.
+	ackedSeq int64
+	// clock is the server's clock as read at clockAt.
 	clock   time.Duration
 	clockAt time.Time
-	// renewedAt is when the newest order was sent that may extend the lease of what runs there.
+	// renewedAt is when the last call was sent that may extend the leases of the server's runs.
 	renewedAt time.Time
-	// looking is set while a look is in progress, the one that looks counts; lookAt is when it was sent or is due.
-	looking bool
-	looks   int64
-	lookAt  time.Time
-	// pause is set after a look that listed ends.
-	pause bool
-	// obeyedAt is when the newest look was sent that the server has answered as one of its leader's.
-	obeyedAt time.Time
-	// quick is set while a look is in progress that waits for no end, as an order waits for the proof that its task does not
+	// renewing is set while the latest renewal, whose number is renewals, is in progress; renewAt is when it was sent or the next is due.
+	renewing bool
+	renewals int64
+	renewAt  time.Time
+	// delayNext is set to send the next renewal after renewDelay.
+	delayNext bool
+	// confirmedAt is the time of sending of the newest renewal that the server answered with this leader's token.
+	confirmedAt time.Time
+	// proofPending is set while a renewal is in progress that returns at once, because an order waits for the proof that its task does not
 	// run here.
-	quick bool
-	// doubts counts the looks in a row that got no answer.
-	doubts int
-	// failing counts the submissions that failed here since the last success, pausedUntil is when
-	// the next task may be tried.
-	failing     int
-	failedLast  string
-	spd         speed
-	pausedUntil time.Time
-}
-
-// run is a start of a task at a server.
+	proofPending bool
+	// missed counts the renewals in a row that got no answer.
+	missed int
+	// failures counts the submissions that failed here since the last success; the last was lastFailed. No task is started before
+	// quarantinedUntil.
+	failures         int
+	lastFailed       string
+	spd              speed
+	quarantinedUntil time.Time
+}
+
+// run is one start of a task on a server.
 type run struct {
 	id    RunID
 	state runState
-	// ord is nil for an orphan: a run that nobody has asked this leader for, of unknown size.
+	// ord is nil for an unclaimed run, whose size is not known.
 	ord    *order
 	sentAt time.Time
-	// first is set if no start of the order was sent before that may have been carried out.
-	first bool
-	// repeats counts the starts that were sent again for want of an answer.
+	// firstStart is set if no earlier start of the order was sent that may have been carried out.
+	firstStart bool
+	// repeats counts how often the start was sent again after no answer.
 	repeats int
-	// acceptedAt is when the server accepted the start, or was seen to run it.
+	// acceptedAt is when the server accepted the start or first listed the run.
 	acceptedAt time.Time
-	// percent was reached at progressAt.
+	// percent is the progress of the run, reached at progressAt.
 	percent    int
 	progressAt time.Time
-	// stopAt is when the first stop was sent, stopDue when the next is; stopped when one was accepted.
-	stopAt, stopDue, stopped time.Time
-	stopping                 bool
-	// timed is set once the run has told of its server's speed; blurred ones tell nothing of it, as their leader stood still meanwhile.
-	timed, blurred bool
+	// stopAt is when the first stop was sent, stopDue when the next is due, stopAcceptedAt when the server accepted one.
+	stopAt, stopDue, stopAcceptedAt time.Time
+	stopping                        bool
+	// timed is set once the run time was used as evidence of its server's speed. spansPause is set if the leader was paused during the
+	// run: its time, as seen here, is then no evidence.
+	timed, spansPause bool
 }
 
 type runState int
@@ -85,21 +86,21 @@
 	starting runState = iota
 	// running runs were accepted.
 	running
-	// ending runs are to end; their room stays taken until the server shows that they are gone.
+	// ending runs are being stopped; they keep their capacity until the server shows that they are over.
 	ending
 )
 
 func newServer(ent ServerEntry, now time.Time) *server {
-	return &server{ent: ent, runs: map[RunID]*run{}, lookAt: now}
+	return &server{ent: ent, runs: map[RunID]*run{}, renewAt: now}
 }
 
-// add counts a run from now on.
+// add adds a run to the server and counts its size.
 func (srv *server) add(rn *run) {
 	srv.runs[rn.id] = rn
 	srv.count(rn, 1)
 }
 
-// drop counts a run no more.
+// drop removes a run from the server and from the counts.
 func (srv *server) drop(rn *run) {
 	if srv.runs[rn.id] == rn {
 		delete(srv.runs, rn.id)
@@ -109,53 +110,54 @@
 
 func (srv *server) count(rn *run, sign int64) {
 	if rn.ord == nil {
-		srv.orphans += int(sign)
+		srv.unclaimed += int(sign)
 		return
 	}
 	srv.usedProcessor += sign * rn.ord.Processor
 	srv.usedMemory += sign * rn.ord.Memory
 }
 
-// assign gives a run that is counted here to an order, or to none.
+// assign connects a run of the server to an order, or to none if ord is nil.
 func (srv *server) assign(rn *run, ord *order) {
 	srv.count(rn, -1)
 	rn.ord = ord
 	srv.count(rn, 1)
 }
 
-// free returns the room that surely is free: everything that may run there counts, and an orphan, whose size
-// is not known, as all there is.
+// free returns the processor and memory that are certainly free: every run that may exist counts, and an unclaimed one, whose size is
+// not known, takes up the whole server.
 func (srv *server) free() (processor, memory int64) {
-	if srv.orphans > 0 {
+	if srv.unclaimed > 0 {
 		return 0, 0
 	}
 	return srv.ent.Processor - srv.usedProcessor, srv.ent.Memory - srv.usedMemory
 }
 
-// open reports whether a new task may go to the server, which may have left so many looks without an answer. One that was paused is on trial first, with one task at a time.
-func (srv *server) open(now time.Time, doubts int) bool {
+// acceptsTasks reports whether a new task may start on the server, which may have missed up to tolerated renewals in a row. After a
+// quarantine it is on trial, with one task at a time.
+func (srv *server) acceptsTasks(now time.Time, tolerated int) bool {
 	switch {
-	case srv.state != held || srv.doubts > doubts || srv.ent.Leaving:
+	case srv.state != confirmed || srv.missed > tolerated || srv.ent.Leaving:
 		return false
-	case now.Before(srv.pausedUntil) || now.Before(srv.spd.until):
+	case now.Before(srv.quarantinedUntil) || now.Before(srv.spd.quarantinedUntil):
 		return false
 	}
 	return !srv.onTrial() || len(srv.runs) == 0
 }
 
-// obeyedSince reports whether the server has shown that it obeys the leader, and what runs there, since a time.
-func (srv *server) obeyedSince(since time.Time) bool {
-	return srv.state == held && !srv.obeyedAt.Before(since)
+// confirmedSince reports whether the server has answered a renewal sent at or after since with this leader's token.
+func (srv *server) confirmedSince(since time.Time) bool {
+	return srv.state == confirmed && !srv.confirmedAt.Before(since)
 }
 
-// usable reports whether the server is a part of the shard's room, leaving out pauses.
-func (srv *server) usable() bool { return srv.state == held && !srv.ent.Leaving }
+// inService reports whether the server counts for the shard's capacity; a quarantined one does.
+func (srv *server) inService() bool { return srv.state == confirmed && !srv.ent.Leaving }
 
-// onTrial reports whether the next end decides on a server that was paused.
-func (srv *server) onTrial() bool { return srv.failing >= failuresToPause || srv.spd.onTrial() }
+// onTrial reports whether the next end decides if a server that was quarantined is sound.
+func (srv *server) onTrial() bool { return srv.failures >= failuresToQuarantine || srv.spd.onTrial() }
 
-// takes reports whether the server may run an order, its room aside.
-func (srv *server) takes(ord *order) bool {
+// suits reports whether the server may run an order, apart from free capacity.
+func (srv *server) suits(ord *order) bool {
 	if srv.ent.Service != ord.Service {
 		return false
 	}
@@ -175,36 +177,35 @@
 	return num
 }
 
-// until returns the end of a lease that begins now, on the server's clock, which may be slow: the longer it was not read the
-// earlier it is taken to be, or leases would outlast their time.
-func (srv *server) until(now time.Time, lease time.Duration) time.Duration {
+// leaseUntil returns the end of a lease that begins now, on the server's clock. As that clock may be slow, its present value is
+// underestimated in proportion to the time since it was read; otherwise leases could be too long.
+func (srv *server) leaseUntil(now time.Time, lease time.Duration) time.Duration {
 	return srv.clock + time.Duration(float64(now.Sub(srv.clockAt))/clockSkew) + lease
 }
 
 // idle reports whether nothing runs or may start on the server.
-func (srv *server) idle() bool { return srv.state == held && len(srv.runs) == 0 }
+func (srv *server) idle() bool { return srv.state == confirmed && len(srv.runs) == 0 }
 
-// setClock notes the server's clock as it was no later than now.
+// setClock records a reading of the server's clock, taken at now or before.
 func (srv *server) setClock(now time.Time, clock time.Duration) {
 	srv.clock, srv.clockAt = clock, now
 }
 
-// awaitsProof reports whether the next look may show that a stopped run is gone, so that it should not wait for
-// an end.
-func (srv *server) awaitsProof() bool {
+// hasAcceptedStop reports whether a run has an accepted stop, so that the next renewal may prove it over and should not wait for an end.
+func (srv *server) hasAcceptedStop() bool {
 	for _, rn := range srv.runs {
-		if !rn.stopped.IsZero() {
+		if !rn.stopAcceptedAt.IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-// unanswered reports whether a run that has to end here has not been stopped for too long: renewing the
-// server's lease would keep that run alive past the time at which its caller sends the job again.
-func (srv *server) unanswered(now time.Time, patience time.Duration) bool {
+// hasOverdueStop reports whether a run has waited longer than patience for a stop to be accepted. Renewing the server's leases would
+// keep that run alive past the time at which its caller submits the job again.
+func (srv *server) hasOverdueStop(now time.Time, patience time.Duration) bool {
 	for _, rn := range srv.runs {
-		if rn.state == ending && rn.stopped.IsZero() && !rn.stopAt.IsZero() && now.Sub(rn.stopAt) > patience {
+		if rn.state == ending && rn.stopAcceptedAt.IsZero() && !rn.stopAt.IsZero() && now.Sub(rn.stopAt) > patience {
 			return true
 		}
 	}
@@ -212,12 +213,12 @@
 }
 
 const (
-	// failuresToPause is how many submissions in a row fail before the server is paused: one in 500
-	// tasks fails on sound servers, so that two in a row there are rare.
-	failuresToPause = 2
-	maxDoublings    = 8
+	// failuresToQuarantine is how many submissions in a row must fail before a server is quarantined: one in 500 tasks fails on sound
+	// servers, so two in a row are rare.
+	failuresToQuarantine = 2
+	maxDoublings         = 8
 )
 
 func (srv *server) succeeded() {
-	srv.failing, srv.failedLast, srv.pausedUntil = 0, "", time.Time{}
+	srv.failures, srv.lastFailed, srv.quarantinedUntil = 0, "", time.Time{}
 }
--- a/internal/request/shard/stall_test.go
+++ b/internal/request/shard/stall_test.go
@@ -7,14 +7,13 @@
 	"github.com/matryer/is"
 )
 
-// TestLeaderThatStoodStillBlamesNoServer guards against servers that are closed for a second, and runs that are stopped, as their leader got
-// no processor and saw no progress.
+// Guards against servers that are quarantined, and runs that are stopped, because their leader was paused and saw no progress.
 func TestLeaderThatStoodStillBlamesNoServer(t *testing.T) {
 	const step = 50 * time.Millisecond
 	cases := map[string]struct {
-		// seen is the progress that looks show, one each step; a negative one is no answer.
+		// seen is the progress listed by the renewals, one per step; a negative one means no answer.
 		seen []int
-		// pause is for how long nothing comes to the leader before its next tick.
+		// pause is how long the leader gets no event before its next tick.
 		pause time.Duration
 		want  int
 	}{
@@ -30,40 +29,39 @@
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
-			dsk := newDesk(t, listed("s", 32000))
-			dsk.ldr.loss = 0.3 // A look without an answer says little.
-			dsk.place(0, "j.0")
-			run := dsk.started("j.0", Accepted)
-			dsk.acts = nil
+			har := newHarness(t, serverEntry("s", 32000))
+			har.ldr.lossRate = 0.3 // One renewal without an answer says little.
+			har.place(0, "j.0")
+			run := har.answerStart("j.0", Accepted)
+			har.acts = nil
 			for _, percent := range cse.seen {
-				dsk.pass(step)
+				har.advance(step)
 				if percent >= 0 {
-					dsk.look("s", RenewResult{Running: []Progress{{Run: run, Percent: percent}}})
+					har.answerRenewal("s", RenewResult{Running: []Progress{{Run: run, Percent: percent}}})
 				}
 			}
-			dsk.now = dsk.now.Add(cse.pause)
-			dsk.did(dsk.ldr.Tick(dsk.now))
-			chk.Equal(dsk.stops(), cse.want)
+			har.now = har.now.Add(cse.pause)
+			har.record(har.ldr.Tick(har.now))
+			chk.Equal(har.stops(), cse.want)
 		})
 	}
 }
 
-// TestRunsBesideAPauseOfTheirLeaderAreNotTimed guards against servers that are taken for slow, and queues that seem longer than they are, by
-// the time for which their leader got no processor.
+// Guards against servers that are taken for slow, and waits that are overestimated, because the leader's own pause counts as run time.
 func TestRunsBesideAPauseOfTheirLeaderAreNotTimed(t *testing.T) {
 	chk := is.New(t)
-	dsk := newDesk(t, listed("s", 64000))
-	before := dsk.ldr.meanRun
-	dsk.place(0, "j1.0", "j2.0", "j3.0", "j4.0")
+	har := newHarness(t, serverEntry("s", 64000))
+	before := har.ldr.meanRun
+	har.place(0, "j1.0", "j2.0", "j3.0", "j4.0")
 	var ends []End
 	for idx, task := range []string{"j1.0", "j2.0", "j3.0", "j4.0"} {
-		ends = append(ends, End{Seq: int64(idx + 1), Run: dsk.started(task, Accepted), Kind: EndedDone})
+		ends = append(ends, End{Seq: int64(idx + 1), Run: har.answerStart(task, Accepted), Kind: EndedDone})
 	}
-	dsk.acts = nil
-	dsk.now = dsk.now.Add(3 * time.Second)
-	dsk.ldr.HandlePause(dsk.now.Add(50 * time.Millisecond))
-	dsk.look("s", RenewResult{Ended: ends})
-	chk.Equal(dsk.reports(Done), len(ends))
-	chk.Equal(dsk.ldr.meanRun, before)
-	chk.Equal(dsk.count(func(act Action) bool { _, is := act.(QuarantineServer); return is }), 0)
+	har.acts = nil
+	har.now = har.now.Add(3 * time.Second)
+	har.ldr.HandlePause(har.now.Add(50 * time.Millisecond))
+	har.answerRenewal("s", RenewResult{Ended: ends})
+	chk.Equal(har.reports(Done), len(ends))
+	chk.Equal(har.ldr.meanRun, before)
+	chk.Equal(har.count(func(act Action) bool { _, is := act.(QuarantineServer); return is }), 0)
 }
--- a/internal/request/shard/takeover.go
+++ b/internal/request/shard/takeover.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// claimMissing takes servers over whose entries have lapsed: they may be fine, and run what the former leader started.
+// claimMissing adds servers whose entries have expired: they may be alive and run what the former leader started.
 func (ldr *Leader) claimMissing(now time.Time, ents []ServerEntry) {
 	for _, ent := range ents {
 		if ldr.servers[ent.ID] == nil {
@@ -12,12 +12,12 @@
 	}
 }
 
-// adopt connects an order with a run or an end that was found at the take-over.
+// adopt connects an order to a run or an end that was found at the takeover, and reports whether there was one.
 func (ldr *Leader) adopt(now time.Time, ord *order) bool {
-	if end, ok := ldr.ends[ord.Task]; ok && end.how == EndedDone {
-		delete(ldr.ends, ord.Task)
+	if end, ok := ldr.unclaimedEnds[ord.Task]; ok && end.kind == EndedDone {
+		delete(ldr.unclaimedEnds, ord.Task)
 		delete(ldr.orders, ord.Task)
-		ldr.do(SendReport{Owner: ord.Owner, Report: Report{
+		ldr.emit(SendReport{Owner: ord.Owner, Report: Report{
 			Task: ord.Task, Token: ldr.token, Outcome: Done, Server: end.server,
 		}})
 		return true
@@ -29,7 +29,7 @@
 			}
 			srv.assign(rn, ord)
 			ord.run, ord.srv = rn, srv
-			rn.timed = true // Nobody here knows when it began.
+			rn.timed = true // The run's start time is not known here.
 			if rn.state == running {
 				rn.sentAt, rn.progressAt = now, now
 				ldr.report(ord, Started, 0)
@@ -40,48 +40,47 @@
 	return false
 }
 
-// runsNowhere reports whether a task that was not found is surely not run any more for another leader. That is so if every server
-// has obeyed this leader since the order came. What a server said before is no proof: this leader may have been held up for a
-// while, and its successor, whose token is higher, may run the task. Nor does the server where the task last ran tell enough: a former
-// leader that still reaches some others may have started it there since. A leader whose list may be short can't tell of all
-// servers: the task may run on one that was added a moment ago, or whose entry is gone.
+// runsNowhere reports whether it is proven that no other leader runs a reassigned task: every server has confirmed this leader since the
+// order came. An earlier listing proves nothing: this leader may have been paused since, and its successor, with a higher token, may run
+// the task. The listing of the server where the task last ran is not enough either: a former leader that still reaches other servers may
+// have started it there since. Nor is an incomplete list of servers, as the task may run on one that was just added or whose entry is gone.
 func (ldr *Leader) runsNowhere(ord *order) bool {
-	if !ldr.knowsAll(ord) {
+	if !ldr.knowsAllServers(ord) {
 		return false
 	}
 	for _, srv := range ldr.servers {
-		if !srv.obeyedSince(ord.cameAt) {
+		if !srv.confirmedSince(ord.receivedAt) {
 			return false
 		}
 	}
 	return true
 }
 
-// knowsAll reports whether the leader knows of every server where an order's task may run. One without servers knows of none: those
-// that another leader holds may have lapsed from the list. A server that was dropped unheard, or given to another shard, can't be asked.
-func (ldr *Leader) knowsAll(ord *order) bool {
-	if !ldr.whole || ldr.dropped || len(ldr.servers) == 0 {
+// knowsAllServers reports whether the leader knows every server on which an order's task may run. A leader without servers does not: those
+// of another leader may have expired from the list. Nor does one that dropped a server unheard or to another shard, as it can't ask it.
+func (ldr *Leader) knowsAllServers(ord *order) bool {
+	if !ldr.listingComplete || ldr.droppedUnproven || len(ldr.servers) == 0 {
 		return false
 	}
 	return ord.LastServer == "" || ldr.servers[ord.LastServer] != nil
 }
 
-// hurryProof has the servers looked at where a task may run for another leader. A look that waits for an end was sent before
-// the order came, and proves nothing. One quick look at a time serves all orders that come meanwhile.
-func (ldr *Leader) hurryProof(now time.Time, ord *order) {
-	if !ldr.knowsAll(ord) {
+// requestProof calls the servers on which a task may run for another leader. A renewal that waits for an end was sent before the order came
+// and proves nothing. One such call at a time to each server serves all orders that come meanwhile.
+func (ldr *Leader) requestProof(now time.Time, ord *order) {
+	if !ldr.knowsAllServers(ord) {
 		return
 	}
 	for _, srv := range ldr.servers {
-		if srv.state != held || srv.quick || srv.obeyedSince(ord.cameAt) {
+		if srv.state != confirmed || srv.proofPending || srv.confirmedSince(ord.receivedAt) {
 			continue
 		}
-		srv.quick = true
-		ldr.look(now, srv)
+		srv.proofPending = true
+		ldr.renew(now, srv)
 	}
 }
 
-// allListed reports whether every server has obeyed this leader and listed what runs there.
+// allListed reports whether every server has confirmed this leader and listed its runs.
 func (ldr *Leader) allListed() bool {
 	for _, srv := range ldr.servers {
 		if srv.state == claiming {
@@ -91,40 +90,42 @@
 	return true
 }
 
-// settle ends the take-over: what nobody has asked for is stopped before any lease is renewed, or an
-// orphan would outlive its caller's patience and meet its own copy.
-func (ldr *Leader) settle(now time.Time) {
-	if ldr.listens(now) && !ldr.nothingToAdopt() {
+// completeTakeover completes the takeover when its conditions hold. It stops the unclaimed runs before any lease is renewed, or a run could
+// outlast the time until its caller submits the job again, and run beside its own copy.
+func (ldr *Leader) completeTakeover(now time.Time) {
+	if ldr.adoptionOpen(now) && !ldr.allClaimed() {
 		return
 	}
-	ldr.settled = true
+	ldr.takeoverComplete = true
 	for _, srv := range ldr.servers {
-		ldr.stopOrphans(now, srv)
+		ldr.stopUnclaimed(now, srv)
 	}
 }
 
-// listens reports whether owners may still ask for what a former leader started.
-func (ldr *Leader) listens(now time.Time) bool { return now.Sub(ldr.since) < ldr.cfg.TakeoverWait }
+// adoptionOpen reports whether owners may still send orders for what a former leader started.
+func (ldr *Leader) adoptionOpen(now time.Time) bool {
+	return now.Sub(ldr.takeoverAt) < ldr.cfg.TakeoverWait
+}
 
-// nothingToAdopt reports whether every server has listed what runs there, and an owner has asked for all of it: nobody is
-// waited for then. After the loss of all instances nothing runs, and the first tasks start 0.1 s sooner; so they do
-// after a planned handover (TestAllLosePower in process/daemon).
-func (ldr *Leader) nothingToAdopt() bool {
+// allClaimed reports whether every server has listed its runs and orders have come for all of them, so that the takeover need not wait
+// longer. After the loss of all instances, or a planned handover, nothing runs and the first tasks start 0.1 s sooner (TestAllLosePower
+// in process/daemon).
+func (ldr *Leader) allClaimed() bool {
 	if len(ldr.servers) == 0 || !ldr.allListed() {
 		return false
 	}
 	for _, srv := range ldr.servers {
-		if srv.orphans > 0 {
+		if srv.unclaimed > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func (ldr *Leader) stopOrphans(now time.Time, srv *server) {
+func (ldr *Leader) stopUnclaimed(now time.Time, srv *server) {
 	for _, rn := range srv.runs {
 		if rn.ord == nil {
-			ldr.stop(now, srv, rn)
+			ldr.stopRun(now, srv, rn)
 		}
 	}
 }
--- a/internal/request/shard/takeover_test.go
+++ b/internal/request/shard/takeover_test.go
@@ -9,126 +9,150 @@
 )
 
 func TestOrderAtANewLeader(t *testing.T) {
-	// A task lay with the former leader. The new one adopts its run where it finds it; while a server has not been
-	// listed the task may run there, and starts elsewhere only after a lease without renewal.
-	fresh := func(t *testing.T, lst Listing) *desk {
-		dsk := &desk{t: t, now: time.Unix(1000, 0)}
-		dsk.ldr = NewLeader(DefaultConfig(), NewUplink(0), "a.0", 9, dsk.now)
+	// A task was with the former leader. The new leader adopts its run where it finds it. While a server has listed nothing the task may
+	// run there, and must not start elsewhere until a lease without renewal has expired.
+	fresh := func(t *testing.T, lst Listing) *harness {
+		har := &harness{t: t, now: time.Unix(1000, 0)}
+		har.ldr = NewLeader(DefaultConfig(), NewUplink(0), "a.0", 9, har.now)
 		if lst.Listed == nil {
-			lst.Listed = []ServerEntry{listed("s1", 32000), listed("s2", 32000)}
-			lst.ReadAt = dsk.now.Add(time.Millisecond)
+			lst.Listed = []ServerEntry{serverEntry("s1", 32000), serverEntry("s2", 32000)}
+			lst.ReadAt = har.now.Add(time.Millisecond)
 		}
-		dsk.did(dsk.ldr.SetServers(dsk.now, lst))
-		return dsk
+		har.record(har.ldr.SetServers(har.now, lst))
+		return har
 	}
 	running := RenewResult{Running: []Progress{{Run: RunID{Task: "j.0", Number: 5}, Percent: 10}}}
-	followedFrom := func(dsk *desk, at ServerID) {
-		ord := dsk.order(0, "j.0")
+	followedFrom := func(har *harness, at ServerID) {
+		ord := har.order(0, "j.0")
 		ord.Reassigned, ord.LastServer = true, at
-		dsk.did(dsk.ldr.HandleOrder(dsk.now, ord))
+		har.record(har.ldr.HandleOrder(har.now, ord))
 	}
-	followed := func(dsk *desk) { followedFrom(dsk, "") }
+	followed := func(har *harness) { followedFrom(har, "") }
 	cases := map[string]struct {
-		// list is what the leader knows at first: both servers if it is empty.
+		// list is the listing at the takeover; both servers if it is empty.
 		list         Listing
-		story        func(dsk *desk)
+		story        func(har *harness)
 		begun, stops int
-		// returned orders run nowhere and go back for their payload.
+		// returned counts orders that run nowhere and go back to their owner for their payload.
 		returned int
 	}{
 		"listed, then asked for": {
-			story: func(dsk *desk) { dsk.look("s1", running); dsk.look("s2", RenewResult{}); followed(dsk) },
+			story: func(har *harness) {
+				har.answerRenewal("s1", running)
+				har.answerRenewal("s2", RenewResult{})
+				followed(har)
+			},
 			begun: 1,
 		},
 		"asked for, then listed": {
-			story: func(dsk *desk) { followed(dsk); dsk.look("s1", running); dsk.look("s2", RenewResult{}) },
+			story: func(har *harness) {
+				followed(har)
+				har.answerRenewal("s1", running)
+				har.answerRenewal("s2", RenewResult{})
+			},
 			begun: 1,
 		},
 		"never asked for": {
-			story: func(dsk *desk) { dsk.look("s1", running); dsk.look("s2", RenewResult{}) },
+			story: func(har *harness) { har.answerRenewal("s1", running); har.answerRenewal("s2", RenewResult{}) },
 			stops: 1,
 		},
 		"nowhere": {
-			story:    func(dsk *desk) { followed(dsk); dsk.look("s1", RenewResult{}); dsk.look("s2", RenewResult{}) },
+			story: func(har *harness) {
+				followed(har)
+				har.answerRenewal("s1", RenewResult{})
+				har.answerRenewal("s2", RenewResult{})
+			},
 			returned: 1,
 		},
 		"one server is silent, before the lease has passed": {
-			story: func(dsk *desk) { dsk.look("s1", RenewResult{}); followed(dsk) },
+			story: func(har *harness) { har.answerRenewal("s1", RenewResult{}); followed(har) },
 		},
 		"one server is silent, after it": {
-			story:    func(dsk *desk) { dsk.look("s1", RenewResult{}); followed(dsk); dsk.pass(DefaultConfig().OrphanExpiry) },
+			story: func(har *harness) {
+				har.answerRenewal("s1", RenewResult{})
+				followed(har)
+				har.advance(DefaultConfig().OrphanExpiry)
+			},
 			returned: 1,
 		},
 		"its last server is listed, another one silent": {
-			// A former leader that reaches the silent one may have started the task there since.
-			story: func(dsk *desk) { dsk.look("s1", RenewResult{}); followedFrom(dsk, "s1") },
+			// A former leader that reaches the server without an answer may have started the task there since.
+			story: func(har *harness) { har.answerRenewal("s1", RenewResult{}); followedFrom(har, "s1") },
 		},
 		"its last server is listed, another one silent, after the lease": {
-			story:    func(dsk *desk) { dsk.look("s1", RenewResult{}); followedFrom(dsk, "s1"); dsk.pass(DefaultConfig().OrphanExpiry) },
+			story: func(har *harness) {
+				har.answerRenewal("s1", RenewResult{})
+				followedFrom(har, "s1")
+				har.advance(DefaultConfig().OrphanExpiry)
+			},
 			returned: 1,
 		},
 		"its last server is not known here": {
-			// The entry of that server has lapsed, and the instance has never seen it.
-			story: func(dsk *desk) { dsk.look("s1", RenewResult{}); dsk.look("s2", RenewResult{}); followedFrom(dsk, "s3") },
+			// The entry of that server has expired, and the instance has never seen it.
+			story: func(har *harness) {
+				har.answerRenewal("s1", RenewResult{})
+				har.answerRenewal("s2", RenewResult{})
+				followedFrom(har, "s3")
+			},
 		},
 		"the list was read before the take-over": {
-			// The former leader may have taken in a server that was added since, or whose entry is gone.
-			list:  Listing{Listed: []ServerEntry{listed("s1", 32000)}, ReadAt: time.Unix(1000, 0)},
-			story: func(dsk *desk) { dsk.look("s1", RenewResult{}); followed(dsk) },
+			// The former leader may have taken over a server that was added since, or whose entry is gone.
+			list:  Listing{Listed: []ServerEntry{serverEntry("s1", 32000)}, ReadAt: time.Unix(1000, 0)},
+			story: func(har *harness) { har.answerRenewal("s1", RenewResult{}); followed(har) },
 		},
 		"the list was read again after it": {
-			list: Listing{Listed: []ServerEntry{listed("s1", 32000)}, ReadAt: time.Unix(1000, 0)},
-			story: func(dsk *desk) {
-				dsk.look("s1", RenewResult{})
-				followed(dsk)
-				dsk.did(dsk.ldr.SetServers(dsk.now, Listing{
-					Listed: []ServerEntry{listed("s1", 32000)}, ReadAt: dsk.now.Add(time.Millisecond),
+			list: Listing{Listed: []ServerEntry{serverEntry("s1", 32000)}, ReadAt: time.Unix(1000, 0)},
+			story: func(har *harness) {
+				har.answerRenewal("s1", RenewResult{})
+				followed(har)
+				har.record(har.ldr.SetServers(har.now, Listing{
+					Listed: []ServerEntry{serverEntry("s1", 32000)}, ReadAt: har.now.Add(time.Millisecond),
 				}))
 			},
 			returned: 1,
 		},
 		"its server has no entry any more": {
-			story: func(dsk *desk) {
-				dsk.did(dsk.ldr.SetServers(dsk.now, Listing{
-					Listed: []ServerEntry{listed("s1", 32000)}, Missing: []ServerEntry{listed("s3", 32000)},
+			story: func(har *harness) {
+				har.record(har.ldr.SetServers(har.now, Listing{
+					Listed: []ServerEntry{serverEntry("s1", 32000)}, Missing: []ServerEntry{serverEntry("s3", 32000)},
 				}))
-				dsk.look("s1", RenewResult{})
-				followed(dsk)
-				dsk.look("s3", running)
+				har.answerRenewal("s1", RenewResult{})
+				followed(har)
+				har.answerRenewal("s3", running)
 			},
 			begun: 1,
 		},
 		"it ended meanwhile": {
-			story: func(dsk *desk) {
-				dsk.look("s1", RenewResult{Ended: []End{{Seq: 3, Run: RunID{Task: "j.0", Number: 5}}}})
-				dsk.look("s2", RenewResult{})
-				followed(dsk)
+			story: func(har *harness) {
+				har.answerRenewal("s1", RenewResult{Ended: []End{{Seq: 3, Run: RunID{Task: "j.0", Number: 5}}}})
+				har.answerRenewal("s2", RenewResult{})
+				followed(har)
 			},
 		},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
-			dsk := fresh(t, cse.list)
-			cse.story(dsk)
-			dsk.pass(DefaultConfig().TakeoverWait)
-			chk.Equal(dsk.reports(Started), cse.begun)
-			chk.Equal(dsk.reports(NotRun), cse.returned)
-			chk.Equal(len(dsk.starts()), 0)
-			chk.Equal(dsk.stops(), cse.stops)
+			har := fresh(t, cse.list)
+			cse.story(har)
+			har.advance(DefaultConfig().TakeoverWait)
+			chk.Equal(har.reports(Started), cse.begun)
+			chk.Equal(har.reports(NotRun), cse.returned)
+			chk.Equal(len(har.starts()), 0)
+			chk.Equal(har.stops(), cse.stops)
 			if name == "it ended meanwhile" {
-				chk.Equal(dsk.reports(Done), 1)
+				chk.Equal(har.reports(Done), 1)
 			}
 		})
 	}
 }
 
-// TestLeaderWithoutServersProvesNothing guards against a task that runs twice: a leader that has forgotten servers said that it runs
-// nowhere, while a former leader ran it at one of them.
+// Guards against a task that runs twice because a leader that has dropped servers reports that the task runs nowhere, while a former leader
+// runs it on one of them.
 func TestLeaderWithoutServersProvesNothing(t *testing.T) {
-	s1, s2 := listed("s1", 32000), listed("s2", 32000)
+	s1, s2 := serverEntry("s1", 32000), serverEntry("s2", 32000)
 	cases := map[string]struct {
-		// list is what the leader knows at the take-over, left what it knows afterwards; answer has the servers that obey it.
+		// list is the listing at the takeover and left the one afterwards; answer lists the servers that confirm the leader.
 		list, left, all []ServerEntry
 		answer          []ServerID
 	}{
@@ -142,44 +166,43 @@
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
-			dsk := &desk{t: t, now: time.Unix(1000, 0)}
-			dsk.ldr = NewLeader(DefaultConfig(), NewUplink(0), "a.0", 9, dsk.now)
+			har := &harness{t: t, now: time.Unix(1000, 0)}
+			har.ldr = NewLeader(DefaultConfig(), NewUplink(0), "a.0", 9, har.now)
 			listing := func(ents, all []ServerEntry) Listing {
-				lst := Listing{Listed: ents, All: map[ServerID]ServerEntry{}, ReadAt: dsk.now.Add(time.Millisecond)}
+				lst := Listing{Listed: ents, All: map[ServerID]ServerEntry{}, ReadAt: har.now.Add(time.Millisecond)}
 				for _, ent := range all {
 					lst.All[ent.ID] = ent
 				}
 				return lst
 			}
-			dsk.did(dsk.ldr.SetServers(dsk.now, listing(cse.list, cse.all)))
+			har.record(har.ldr.SetServers(har.now, listing(cse.list, cse.all)))
 			for _, id := range cse.answer {
-				dsk.look(id, RenewResult{})
+				har.answerRenewal(id, RenewResult{})
 			}
 			if slices.Contains(cse.answer, "s1") {
-				dsk.lookFrom("s1", dsk.now, RenewResult{}, Unknown)
-				dsk.lookFrom("s1", dsk.now, RenewResult{}, Unknown)
-				dsk.lookFrom("s1", dsk.now, RenewResult{}, Unknown)
+				har.answerRenewalSentAt("s1", har.now, RenewResult{}, Unknown)
+				har.answerRenewalSentAt("s1", har.now, RenewResult{}, Unknown)
+				har.answerRenewalSentAt("s1", har.now, RenewResult{}, Unknown)
 			}
-			dsk.did(dsk.ldr.SetServers(dsk.now, listing(cse.left, cse.all)))
-			dsk.pass(2 * time.Second)
-			ord := dsk.order(0, "j.0")
+			har.record(har.ldr.SetServers(har.now, listing(cse.left, cse.all)))
+			har.advance(2 * time.Second)
+			ord := har.order(0, "j.0")
 			ord.Reassigned = true
-			dsk.did(dsk.ldr.HandleOrder(dsk.now, ord))
+			har.record(har.ldr.HandleOrder(har.now, ord))
 			if slices.Contains(cse.answer, "s2") {
-				dsk.look("s2", RenewResult{})
+				har.answerRenewal("s2", RenewResult{})
 			}
-			chk.Equal(dsk.reports(NotRun), 0)
-			dsk.pass(DefaultConfig().OrphanExpiry)
-			chk.Equal(dsk.reports(NotRun), 1) // The chain of leases has passed.
+			chk.Equal(har.reports(NotRun), 0)
+			har.advance(DefaultConfig().OrphanExpiry)
+			chk.Equal(har.reports(NotRun), 1) // The chain of leases has expired.
 		})
 	}
 }
 
 func TestFormerLeaderIsAskedForAnOrder(t *testing.T) {
-	// A leader stands still for two seconds. Another instance takes its shard over and starts tasks there. The first one
-	// wakes and still says that it leads; an owner follows it with the order of a running task. It went by what its servers had
-	// listed before ("report" "not-run" 0 ms after the order that "followed"), and the task started elsewhere: ten tasks ran
-	// twice until the next leader's stop, 3 ms later.
+	// A leader is paused for two seconds, and another instance takes over its shard and starts tasks. The first goes on as leader and gets
+	// the reassigned order of a running task. If it trusted what its servers listed before the pause, it would return the order as not run,
+	// and the task would run twice.
 	cases := map[string]struct {
 		at             ServerID
 		verdict        CallResult
@@ -196,45 +219,44 @@
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
-			dsk := newDesk(t, listed("s1", 32000))
-			dsk.did(dsk.ldr.SetServers(dsk.now, Listing{
-				Listed: []ServerEntry{listed("s1", 32000)}, ReadAt: dsk.now.Add(time.Millisecond),
+			har := newHarness(t, serverEntry("s1", 32000))
+			har.record(har.ldr.SetServers(har.now, Listing{
+				Listed: []ServerEntry{serverEntry("s1", 32000)}, ReadAt: har.now.Add(time.Millisecond),
 			}))
-			dsk.pass(100 * time.Millisecond)
-			ord := dsk.order(0, "j.0")
+			har.advance(100 * time.Millisecond)
+			ord := har.order(0, "j.0")
 			ord.Reassigned, ord.LastServer = true, cse.at
-			dsk.did(dsk.ldr.HandleOrder(dsk.now, ord))
-			chk.Equal(dsk.reports(NotRun), 0) // Nothing is known yet.
-			dsk.lookFrom("s1", dsk.now, cse.look, cse.verdict)
-			if dsk.ldr.LostServers() > 0 {
-				dsk.did(dsk.ldr.Resign())
+			har.record(har.ldr.HandleOrder(har.now, ord))
+			chk.Equal(har.reports(NotRun), 0) // Nothing is known yet.
+			har.answerRenewalSentAt("s1", har.now, cse.look, cse.verdict)
+			if har.ldr.LostServers() > 0 {
+				har.record(har.ldr.Resign())
 			}
-			chk.Equal(dsk.reports(NotRun), cse.returned)
-			chk.Equal(dsk.reports(Lost), cse.lost)
+			chk.Equal(har.reports(NotRun), cse.returned)
+			chk.Equal(har.reports(Lost), cse.lost)
 		})
 	}
 }
 
 func TestStartWithoutAnswerMayHaveRun(t *testing.T) {
-	// A server carries starts out and its answers are lost. The runs are stopped, and the order waits again. Its owner calls it back,
-	// as the job can't be done in time any more, and told the caller 503, "not run", though two tasks had begun
-	// ("start" "unknown", "stop" "accepted", "report" "not-run", "refused"). The report says now that it may have run.
+	// A server carries out starts but its answers are lost; the runs are stopped and the order waits again. If its owner then recalls it,
+	// and the report doesn't say that it may have run, the caller is told 503 "not run" though tasks had begun.
 	cases := map[string]struct {
-		story func(dsk *desk)
+		story func(har *harness)
 		want  bool
 	}{
-		"never started": {story: func(*desk) {}},
-		"start refused": {story: func(dsk *desk) { dsk.started("j.0", Refused) }},
+		"never started": {story: func(*harness) {}},
+		"start refused": {story: func(har *harness) { har.answerStart("j.0", Refused) }},
 		"start without an answer, stopped": {
-			story: func(dsk *desk) {
+			story: func(har *harness) {
 				var run RunID
 				for range 1 + startRepeats {
-					run = dsk.started("j.0", Unknown)
+					run = har.answerStart("j.0", Unknown)
 				}
-				dsk.did(dsk.ldr.HandleStopResult(dsk.now, "s1", run, Accepted))
-				dsk.pass(10 * time.Millisecond)
-				dsk.ldr.HandlePause(dsk.now.Add(time.Second)) // It waits, and does not start again.
-				dsk.look("s1", RenewResult{})
+				har.record(har.ldr.HandleStopResult(har.now, "s1", run, Accepted))
+				har.advance(10 * time.Millisecond)
+				har.ldr.HandlePause(har.now.Add(time.Second)) // It waits, and does not start again.
+				har.answerRenewal("s1", RenewResult{})
 			},
 			want: true,
 		},
@@ -242,19 +264,19 @@
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
-			dsk := newDesk(t, listed("s1", 32000))
-			ord := dsk.order(0, "j.0")
+			har := newHarness(t, serverEntry("s1", 32000))
+			ord := har.order(0, "j.0")
 			if name == "never started" {
 				ord.Processor = 64000
 			}
-			dsk.did(dsk.ldr.HandleOrder(dsk.now, ord))
-			cse.story(dsk)
-			dsk.acts = nil
-			dsk.did(dsk.ldr.Resign())
-			chk.Equal(dsk.reports(NotRun), 1)
-			said := dsk.count(func(act Action) bool {
-				tel, ok := act.(SendReport)
-				return ok && tel.Report.MayHaveRun
+			har.record(har.ldr.HandleOrder(har.now, ord))
+			cse.story(har)
+			har.acts = nil
+			har.record(har.ldr.Resign())
+			chk.Equal(har.reports(NotRun), 1)
+			said := har.count(func(act Action) bool {
+				snd, ok := act.(SendReport)
+				return ok && snd.Report.MayHaveRun
 			})
 			chk.Equal(said > 0, cse.want)
 		})
--- a/internal/request/shard/uplink.go
+++ b/internal/request/shard/uplink.go
@@ -6,97 +6,97 @@
 	"chestnutstack/internal/request/roundtrip"
 )
 
-// Uplink bounds the bytes of payloads that are under way from one instance to backend servers and to other instances; all its
-// leaders and its callers' jobs share it.
+// Uplink limits the bytes of payloads in flight from one instance to backend servers and to other instances. All leaders and jobs of the
+// instance share it.
 //
-// It answers a load whose payloads need more than the instance's link carries for a while. Sent all at once, the starts of
-// some jobs of 20 KB take longer than any timeout on a link of 2 Mbit/s; heartbeats and leases wait behind them, leaders
-// are missed that are fine, their orders are sent again, and the system never comes back. A start that is not sent has
-// surely not run: it waits in the queue, where it can be called back, and what keeps the system together passes it by.
+// This is for loads whose payloads exceed the capacity of the instance's link for a while. Sent all at once, the starts of some jobs of 20
+// KB take longer than any timeout on a link of 2 Mbit/s. Heartbeats and lease renewals would wait behind them, sound leaders would be taken
+// for lost, their orders would be sent again, and the system would never recover. A start that is not sent has certainly not run: it waits
+// in the queue, where its owner can recall it, and does not delay heartbeats and renewals.
 type Uplink struct {
-	// window is what may be under way, inFlight what is on its way to servers, peers to other instances; all in bytes.
-	window, inFlight, peers int64
-	// queued are the bytes that wait here for the link.
-	queued int64
-	// largest is how long the largest usual payload takes on the link.
-	largest time.Duration
-	// answers are the times that starts take.
-	answers roundtrip.Estimate
+	// window is the limit of bytes in flight; inFlight are in flight to backend servers, peerBytes to other instances.
+	window, inFlight, peerBytes int64
+	// queuedBytes wait on this instance for the link.
+	queuedBytes int64
+	// largestTime is how long the largest usual payload takes on the link.
+	largestTime time.Duration
+	// answerTimes estimates how long starts take to be answered.
+	answerTimes roundtrip.Estimate
 }
 
 const (
-	// startOverhead is what a start has besides its payload, in bytes: headers, names and what the network adds.
+	// startOverhead is the size of a start besides its payload, in bytes: headers, names and the network's overhead.
 	startOverhead = 500
-	// queueTime is how long a start may wait on the link for others: a fifth of the interval of heartbeats. Shorter than the
-	// largest usual payload takes on 2 Mbit/s, 12 ms, the link would stand idle between two starts.
+	// queueTime is how long a start may wait on the link for others: a fifth of the heartbeat interval. Were it shorter than the transfer
+	// time of the largest usual payload, 12 ms at 2 Mbit/s, the link would be idle between two starts.
 	queueTime = 20 * time.Millisecond
-	// largestPayload is that of a job, in bytes (4,000, the platform's pages), with what a start has besides.
+	// largestPayload is the size of a job's largest start, in bytes: a payload of 4,000 (from the platform's documentation) and overhead.
 	largestPayload = 4500
-	// unbounded is the window, in bytes, of an instance that is not told what its link carries.
+	// unbounded is the window, in bytes, if the capacity of the link is not configured.
 	unbounded = 4 << 20
-	// orderTimes is how many times the largest payload an order may wait for.
-	orderTimes = 3
-	// leastPatience is some 15 times what a sound server takes to answer, and what an instance may be held up on a fifth of a
-	// core; an order that is sent again too early does no harm. mostPatience is half a lease.
-	leastPatience = 40 * time.Millisecond
-	mostPatience  = 300 * time.Millisecond
+	// answerLargestTimes is how many transfer times of the largest payload are added to the wait for an answer.
+	answerLargestTimes = 3
+	// minAnswerTimeout is about 15 times a sound server's answer time, and the pause that an instance may have on a fifth of a core;
+	// sending an order again too early does no harm. maxAnswerTimeout is half a lease.
+	minAnswerTimeout = 40 * time.Millisecond
+	maxAnswerTimeout = 300 * time.Millisecond
 )
 
-// NewUplink returns the bounds of an instance whose link carries so many bytes a second; 0 if that is not known.
+// NewUplink returns the limits for a link that carries perSecond bytes per second; 0 means unknown.
 func NewUplink(perSecond int64) *Uplink {
 	if perSecond <= 0 {
 		return &Uplink{window: unbounded}
 	}
 	return &Uplink{
-		window:  int64(float64(perSecond) * queueTime.Seconds()),
-		largest: time.Duration(float64(largestPayload) / float64(perSecond) * float64(time.Second)),
+		window:      int64(float64(perSecond) * queueTime.Seconds()),
+		largestTime: time.Duration(float64(largestPayload) / float64(perSecond) * float64(time.Second)),
 	}
 }
 
-// AnswerTimeout is how long to wait for an answer to an order before it is taken for lost. On a narrow link an order waits behind two of
-// the largest; sent again too early, it would only fill the link more.
+// AnswerTimeout returns how long to wait for an answer to an order before it is sent again. On a narrow link an order waits behind two of
+// the largest payloads; sending it again too early would only fill the link more.
 func (upl *Uplink) AnswerTimeout() time.Duration {
-	return upl.answers.Patience(leastPatience+orderTimes*upl.largest, mostPatience)
+	return upl.answerTimes.Patience(minAnswerTimeout+answerLargestTimes*upl.largestTime, maxAnswerTimeout)
 }
 
-// SetPeerBytes tells the bytes that are on their way to other instances.
-func (upl *Uplink) SetPeerBytes(num int64) { upl.peers = num }
+// SetPeerBytes sets how many bytes are in flight to other instances.
+func (upl *Uplink) SetPeerBytes(num int64) { upl.peerBytes = num }
 
-// Sends notes an order with a payload that is about to be sent to another instance; the next SetPeers counts it.
-func (upl *Uplink) Sends(payload string) { upl.peers += StartBytes(payload) }
+// NotePeerSend counts an order about to be sent to another instance, until the next SetPeerBytes includes it.
+func (upl *Uplink) Sends(payload string) { upl.peerBytes += StartBytes(payload) }
 
-// Fits reports whether a start, or an order to another instance, with a payload may be sent now. The largest goes when nothing
-// else is under way.
+// Fits reports whether a start, or an order to another instance, with a payload may be sent now. A payload larger than the window is sent
+// when nothing else is in flight.
 func (upl *Uplink) Fits(payload string) bool {
-	return upl.busy() == 0 || upl.busy()+StartBytes(payload) <= upl.window
+	return upl.busyBytes() == 0 || upl.busyBytes()+StartBytes(payload) <= upl.window
 }
 
-func (upl *Uplink) busy() int64 { return upl.inFlight + upl.peers }
+func (upl *Uplink) busyBytes() int64 { return upl.inFlight + upl.peerBytes }
 
-// SetQueuedBytes tells the bytes that wait here for the link.
-func (upl *Uplink) SetQueuedBytes(num int64) { upl.queued = num }
+// SetQueuedBytes sets how many bytes wait on this instance for the link.
+func (upl *Uplink) SetQueuedBytes(num int64) { upl.queuedBytes = num }
 
-// Delay returns how long some bytes wait for the link, besides what is under way and what waits already.
+// Delay returns how long a number of bytes would wait for the link, behind those in flight and those that wait already.
 func (upl *Uplink) Delay(bytes int64) time.Duration {
-	return linkDelay(upl.window, upl.busy()+upl.queued+bytes)
+	return linkDelay(upl.window, upl.busyBytes()+upl.queuedBytes+bytes)
 }
 
-// linkDelay returns how long the last of some bytes wait for a link that takes a window of bytes in queueTime.
+// linkDelay returns how long the last of a number of bytes waits for a link that carries window bytes per queueTime.
 func linkDelay(window, bytes int64) time.Duration {
 	return time.Duration(float64(queueTime) * float64(max(0, bytes-window)) / float64(max(window, 1)))
 }
 
-// StartBytes is what a start with a payload puts on the link.
+// StartBytes returns how many bytes a start with a payload sends.
 func StartBytes(payload string) int64 { return int64(len(payload)) + startOverhead }
 
-func (upl *Uplink) sent(payload string) { upl.inFlight += StartBytes(payload) }
+func (upl *Uplink) noteStart(payload string) { upl.inFlight += StartBytes(payload) }
 
-// HandleStartResult takes in the time of a start. One without an answer while the link was full most likely still waits there; while it
-// was free, it tells nothing of the link, and must not make the next loss be noticed later.
-func (upl *Uplink) HandleStartResult(payload string, took time.Duration, vdt CallResult) {
-	full := upl.busy()+StartBytes(payload) > upl.window
+// HandleStartResult records that a start's call is over after took. A start without an answer on a full link most likely still waits there,
+// so its time counts; on a free link it says nothing about the link, and must not delay the detection of the next loss.
+func (upl *Uplink) HandleStartResult(payload string, took time.Duration, res CallResult) {
+	full := upl.busyBytes()+StartBytes(payload) > upl.window
 	upl.inFlight -= StartBytes(payload)
-	if vdt == Accepted || vdt == Unknown && full {
-		upl.answers.Add(took)
+	if res == Accepted || res == Unknown && full {
+		upl.answerTimes.Add(took)
 	}
 }
--- a/internal/request/shard/words.go
+++ b/internal/request/shard/words.go
@@ -2,78 +2,78 @@
 
 import "time"
 
-// ServerID names one life of a backend server.
+// ServerID identifies one incarnation of a backend server.
 type ServerID string
 
-// InstanceID names one life of an entry instance.
+// InstanceID identifies one incarnation of an instance.
 type InstanceID string
 
-// RunID is one start of a task; the numbers of a task rise.
+// RunID identifies one start of a task; each further start of the task has a higher number.
 type RunID struct {
 	Task   string
 	Number int64
 }
 
-// EndKind says how a run ended.
+// EndKind is the way in which a run ended.
 type EndKind int
 
-// The ways in which a run ends.
+// The kinds of ends.
 const (
-	// EndedDone is a run whose work is complete.
+	// EndedDone means that the run completed its work.
 	EndedDone EndKind = iota
-	// EndedFailed is a run that failed by its own fault or the backend server's.
+	// EndedFailed means that the run failed, through its own fault or the backend server's.
 	EndedFailed
-	// EndedStopped is a run that was stopped or whose lease lapsed; it counts as no attempt.
+	// EndedStopped means that the run was stopped or its lease expired; it does not count as an attempt.
 	EndedStopped
 )
 
-// Progress is a run that a backend server lists as running.
+// Progress is a run that a backend server lists as running, and how much of it is done.
 type Progress struct {
 	Run     RunID
 	Percent int
 }
 
-// End is a run that a backend server lists as ended; ends are numbered from 1 in each of its lives.
+// End is a run that a backend server lists as ended; each incarnation of a server numbers its ends from 1.
 type End struct {
-	Seq int64
-	Run RunID
+	Seq  int64
+	Run  RunID
 	Kind EndKind
 }
 
-// RenewResult is what a backend server says of itself.
+// RenewResult is a backend server's answer to a renewal.
 type RenewResult struct {
-	// Clock is the server's own steady clock, on which leases count.
+	// Clock is the server's monotonic clock, on which its leases are measured.
 	Clock   time.Duration
 	Running []Progress
 	Ended   []End
 }
 
-// CallResult is what came of a call to a backend server.
+// CallResult is the result of a call to a backend server.
 type CallResult int
 
-// The verdicts of a call.
+// The results of a call.
 const (
-	// Accepted calls were carried out.
+	// Accepted means that the call was carried out.
 	Accepted CallResult = iota
-	// Unknown calls got no answer; they may still be carried out, seconds later even.
+	// Unknown means that the call got no answer; it may still be carried out, even seconds later.
 	Unknown
-	// Refused calls were not carried out and never will be.
+	// Refused means that the call was not carried out and never will be.
 	Refused
-	// Fenced calls were refused because the server has seen a higher fencing token.
+	// Fenced means that the server refused the call because it has seen a higher fencing token.
 	Fenced
-	// Replaced calls met another life of the server: whatever ran in the life that was meant is over.
+	// Replaced means that another incarnation of the server answered: all runs of the one that was called are over.
 	Replaced
-	// OverCapacity calls were refused for want of room.
+	// OverCapacity means that the server refused the call for lack of free capacity.
 	OverCapacity
 )
 
-// String returns the verdict's name in logs.
-func (vdt CallResult) String() string {
+// String returns the result's name in logs.
+func (res CallResult) String() string {
 	names := [...]string{"accepted", "unknown", "refused", "fenced", "replaced", "overfull"}
-	if vdt < 0 || int(vdt) >= len(names) {
+	if res < 0 || int(res) >= len(names) {
 		return "invalid"
 	}
-	return names[vdt]
+	return names[res]
 }
 
 // ServerEntry is a backend server as the platform lists it.
@@ -88,14 +88,14 @@
 	Leaving           bool
 }
 
-// Listing is what an instance knows of the backend servers of a shard.
+// Listing is what an instance knows about the backend servers of a shard.
 type Listing struct {
-	// Listed are those that the platform lists. Missing ones were listed a while ago: a server's entry may lapse while
-	// the server is fine, and what a former leader started there runs on.
+	// Listed has the servers that the platform lists, Missing those that it listed a while ago: a live server's entry may expire, and what
+	// a former leader started there runs on.
 	Listed, Missing []ServerEntry
-	// All are the servers of all shards that are listed.
+	// All has the listed servers of all shards.
 	All map[ServerID]ServerEntry
-	// ReadAt is when the read of the list began; zero while servers may live that this instance has never seen.
+	// ReadAt is when the read of the list began. It is zero while there may be live servers that this instance has never seen listed.
 	ReadAt time.Time
 }
 
@@ -104,54 +104,54 @@
 	Task    string
 	Owner   InstanceID
 	Service string
-	// Payload is what the backend server is given to run.
+	// Payload is passed to the backend server.
 	Payload string
 	// Processor is in thousandths of a core, Memory in MB.
 	Processor, Memory int64
 	Priority          int
-	// Arrived is when the submission came in, Due when its answer is due, UsefulUntil until when it is of use.
+	// Arrived is when the submission came in. Its answer is due at Due and of use to the caller until UsefulUntil.
 	Arrived, Due, UsefulUntil time.Time
-	// ExpectedRunTime is a rough guess of the run time.
+	// ExpectedRunTime is a rough estimate.
 	ExpectedRunTime time.Duration
-	// Label, if set, is one that the server must have; Rack is the label of the rack that has its data.
+	// Label, if set, is a label that the server must have; Rack is the label of the rack that holds the task's data.
 	Label, Rack string
-	// MaxPerServer bounds the tasks of a step on one server, 0 for no bound; Step is what it counts.
+	// MaxPerServer bounds how many tasks of Step run on one server; 0 means no bound.
 	MaxPerServer int
-	Step      string
-	// Avoid has servers where the task failed before; they are used if no other has room.
+	Step         string
+	// Avoid lists the servers where the task failed before; they are used only if no other has free capacity.
 	Avoid []ServerID
-	// Reassigned says that the order lay with an earlier leader of the shard, which may have started it. It has no payload:
-	// most such tasks run, and after the loss of a leader the payloads of all others would fill links for long enough
-	// that the next leader is missed. One that runs nowhere goes back to its owner, which orders it anew. At is the server
-	// where it last ran, if its owner has heard of that. RunsFor is for how long another leader may still run it, from when the
-	// order comes.
+	// Reassigned is set if the order was with a former leader of the shard, which may have started it. Such an order has no payload: most
+	// of these tasks run already, and after the loss of a leader the payloads of the others would fill links for so long that the next
+	// leader is taken for lost too. If its task runs nowhere, the order is returned to its owner, which sends it again with its payload.
+	// LastServer is where the task last ran, if the owner knows. MayRunFor is how long another leader may still run it after the order has
+	// come.
 	Reassigned bool
-	LastServer       ServerID
+	LastServer ServerID
 	MayRunFor  time.Duration
-	// JobStarted orders are of a job of which another task may have begun: they are kept however long they wait, and go before
-	// others, as all that was done for the job would be lost.
+	// JobStarted is set if another task of the job may have started. Such an order is kept however long it waits, and goes before others,
+	// as the work already done for the job would be lost.
 	JobStarted bool
 	// ReturnIfBusy asks for the order back if it can't start at once.
 	ReturnIfBusy bool
-	// Recall asks for an order back that was placed before, if it still waits. It places nothing: the order
-	// may be on its way back already, and its owner then sends it elsewhere.
+	// Recall asks for an earlier order back if it still waits. It never starts the task: the earlier order may be on its way back already,
+	// and its owner then sends it to another leader.
 	Recall bool
 }
 
-// Outcome is what the leader reports of an order.
+// Outcome is what a leader reports about an order.
 type Outcome int
 
 // The outcomes of an order.
 const (
-	// Done orders ended well.
+	// Done means that the run succeeded.
 	Done Outcome = iota
-	// Failed orders have a failed run.
+	// Failed means that the run failed.
 	Failed
-	// NotRun orders are off the leader's hands and nothing of them runs; they may go elsewhere.
+	// NotRun means that the leader has given the order up and nothing of it runs; it may go to another leader.
 	NotRun
-	// Started orders have started; the end comes later.
+	// Started means that the run has started; another report follows at its end.
 	Started
-	// Lost orders are in the hands of another leader, which may let them run on.
+	// Lost means that the task may have passed to another leader, which may let it run on.
 	Lost
 )
 
@@ -164,26 +164,26 @@
 	return names[out]
 }
 
-// Report tells the owner of an order what came of it.
+// Report tells the owner of an order its outcome.
 type Report struct {
 	Task string
-	// Token is the fencing token of the leader that reports: what an earlier one says of a task that its
-	// successor has is out of date.
+	// Token is the fencing token of the reporting leader. A report about a task with a lower token than its current leader's is out of
+	// date.
 	Token   int64
 	Outcome Outcome
-	// Took is how long the run took, Server where it was.
+	// Took is the run time, and Server is where the task ran.
 	Took   time.Duration
 	Server ServerID
-	// MayHaveRun says of an order that does not run that a server may have begun it: a start got no answer, and was stopped.
+	// MayHaveRun is set with NotRun if a server may have begun the task: a start got no answer and was stopped.
 	MayHaveRun bool
-	// TooLate says of an order that does not run that it would not have started here while its answer is of use.
+	// TooLate is set with NotRun if the task would not have been done here while its answer is of use.
 	TooLate bool
 }
 
-// Division is into how many shards the backend servers of a failure domain are cut. Instances that see it
-// differently would take each other's servers away, so they agree on the division with the highest stamp.
+// Division is the number of shards that the backend servers of a failure domain are divided into. Instances with different divisions would
+// take each other's servers over, so all use the one with the highest stamp.
 type Division struct {
 	Count int
-	// Stamp rises with each change; 0 is a guess that nobody has acted on.
+	// Stamp rises with each change; 0 is a guess that no instance has acted on.
 	Stamp int64
 }
