--- a/internal/request/shard/hopeless_test.go
+++ b/internal/request/shard/hopeless_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against an order that waits for a full server until its caller's time is over, without a report before that.
-func TestHopelessOrderGoesBack(t *testing.T) {
+func TestTooLateOrderIsReturned(t *testing.T) {
 	cases := map[string]struct {
 		led    time.Duration
 		before []string
@@ -66,7 +66,7 @@
 
 // Guards against the last task of a job that has started in another shard waiting behind jobs that have not started: all work done for it
 // would be lost.
-func TestTaskOfAJobThatHasBegunGoesFirst(t *testing.T) {
+func TestTaskOfAStartedJobGoesFirst(t *testing.T) {
 	chk := is.New(t)
 	har := newHarness(t, serverEntry("s", size))
 	har.place(0, "j0.0")
@@ -84,7 +84,7 @@
 }
 
 // Guards against orders that are returned as too late while no server answers, when the wait is not known.
-func TestNothingIsHopelessWhileNoServerAnswers(t *testing.T) {
+func TestNothingIsTooLateWhileNoServerAnswers(t *testing.T) {
 	chk := is.New(t)
 	har := newHarness(t, serverEntry("s", 32000))
 	har.advance(ratesKnownAfter)
--- a/internal/request/shard/leader_test.go
+++ b/internal/request/shard/leader_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestRoomIsCountedInProcessors(t *testing.T) {
+func TestCapacityIsCountedInProcessors(t *testing.T) {
 	// Servers enforce no limits: a third task of 14 cores on one of 32 would break its neighbours. A run that is being stopped, or a start
 	// that may still be carried out, keeps its capacity until the server shows that it is over.
 	cases := map[string]func(har *harness, run RunID){
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestUnansweredStart(t *testing.T) {
+func TestStartWithoutAnswerIsStoppedBeforeRestart(t *testing.T) {
 	// A start gets no answer, however often it is sent, and the server carries it out seconds later. Started elsewhere meanwhile, the task
 	// would run twice. It waits until the server has accepted a stop and a later renewal does not list the run.
 	chk := is.New(t)
@@ -62,7 +62,7 @@
 	chk.Equal(len(har.starts()), 1)
 }
 
-func TestStartThatIsSentAgain(t *testing.T) {
+func TestRetriedStart(t *testing.T) {
 	// The first start got no answer but was carried out. The server accepts the second because the run is there, or refuses it because the
 	// run has ended there already. Were that taken for a refused start, the task would start a second time.
 	cases := map[string]struct {
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestServersAreJudgedByTheShareOfAnswers(t *testing.T) {
+func TestMissedRenewalsToleratedByLossRate(t *testing.T) {
 	// At a loss rate of 30%, a server that missed one renewal still gets tasks, and is not taken for unreachable after three. At a low loss
 	// rate it gets none after one.
 	for lossy, want := range map[bool]int{true: 1, false: 0} {
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestStopThatIsNotAnsweredEndsTheRenewals(t *testing.T) {
+func TestStopWithoutAnswerEndsTheRenewals(t *testing.T) {
 	// An owner is lost and the stop of its run gets no answer. If the server's leases were renewed for its other tasks, that run would stay
 	// alive past the time at which the caller submits the job again.
 	chk := is.New(t)
@@ -135,7 +135,7 @@
 	chk.Equal(har.count(func(act Action) bool { _, ok := act.(Renew); return ok }), 1)
 }
 
-func TestCallBackPlacesNothing(t *testing.T) {
+func TestRecallPlacesNothing(t *testing.T) {
 	// An owner finds capacity elsewhere and recalls a waiting task. In the same moment the leader has returned the task, which starts
 	// elsewhere; if the recall were taken for a new order, the task would start a second time here.
 	chk := is.New(t)
@@ -150,7 +150,7 @@
 	chk.Equal(len(har.starts()), 2)
 }
 
-func TestServerThatFailsAll(t *testing.T) {
+func TestServerThatFailsAllIsQuarantined(t *testing.T) {
 	// A server fails all its runs at once, so it always looks idle. After two failed submissions in a row it is quarantined, then tried
 	// with one task at a time. One submission that fails on every server proves nothing.
 	fail := func(har *harness, tasks ...string) {
@@ -227,7 +227,7 @@
 	chk.True(inTime > arrivals*35/100)
 }
 
-func TestUrgentGoesFirst(t *testing.T) {
+func TestUrgentTaskGoesFirst(t *testing.T) {
 	// A server comes free while tasks of all priorities wait; the most urgent starts, whatever the order of arrival.
 	chk := is.New(t)
 	har := newHarness(t, serverEntry("s", 20000))
@@ -241,7 +241,7 @@
 	chk.Equal(har.starts(), map[string]ServerID{"j3.0": "s"})
 }
 
-func TestTightestRoomIsTaken(t *testing.T) {
+func TestTightestServerIsTaken(t *testing.T) {
 	// A task that fits beside another one goes there, so that the empty server is left for larger tasks.
 	chk := is.New(t)
 	har := newHarness(t, serverEntry("half", 30000), serverEntry("whole", 48000))
@@ -283,7 +283,7 @@
 	}
 }
 
-func TestLookIsLost(t *testing.T) {
+func TestRenewalIsLost(t *testing.T) {
 	// On some days one renewal in twenty gets no answer. The server is called again at once and goes on working; after three losses in a
 	// row it is taken for unreachable and gets no task.
 	cases := map[string]struct{ lost, starts int }{
--- a/internal/request/shard/looks_test.go
+++ b/internal/request/shard/looks_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestLooksDoNotMultiply(t *testing.T) {
+func TestRenewalsDoNotMultiply(t *testing.T) {
 	// Each accepted stop sends a renewal at once, though another is in progress. Both are answered, and one renewal must follow, not two:
 	// otherwise many stops raise the renewals to thousands a second.
 	chk := is.New(t)
@@ -31,7 +31,7 @@
 }
 
 // Guards against an idle server that is called in a tight loop, which costs it and its leader as much as a busy server.
-func TestIdleServerIsSeldomLookedAt(t *testing.T) {
+func TestIdleServerIsSeldomRenewed(t *testing.T) {
 	chk := is.New(t)
 	har := newHarness(t, serverEntry("s", 32000))
 	har.answerRenewal("s", RenewResult{Clock: time.Minute})
@@ -54,7 +54,7 @@
 
 // A server that is listed in its first millisecond has a clock of zero. If that is taken for no clock, the server gets a lease without an
 // end, and later a lease that ended before its first start.
-func TestServerInItsFirstMillisecond(t *testing.T) {
+func TestServerWithZeroClock(t *testing.T) {
 	chk := is.New(t)
 	har := newHarness(t)
 	har.record(har.ldr.SetServers(har.now, Listing{Listed: []ServerEntry{serverEntry("s", 32000)}}))
@@ -69,7 +69,7 @@
 }
 
 // A server with a slow clock would keep a lease for too long if its leader has not read that clock for a while.
-func TestLeaseAfterAPauseCountsOnASlowClock(t *testing.T) {
+func TestLeaseEndAllowsForASlowClock(t *testing.T) {
 	chk := is.New(t)
 	now := time.Unix(1000, 0)
 	srv := newServer(serverEntry("s", 32000), now)
--- a/internal/request/shard/rank_test.go
+++ b/internal/request/shard/rank_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestBegunIsFinishedFirst(t *testing.T) {
+func TestStartedJobIsFinishedFirst(t *testing.T) {
 	// One task of a job of two runs. When capacity comes free, the other can't be in time any more, and a task of a new job can. If it
 	// waited behind new ones for as long as they come, the work done for its job would be lost.
 	chk := is.New(t)
@@ -80,7 +80,7 @@
 }
 
 // With runs of a second on a few servers nothing starts for most of the time; waiting tasks must not count as passed over for that.
-func TestNothingStartsForAWhile(t *testing.T) {
+func TestRatesKeepWhileNothingStarts(t *testing.T) {
 	const (
 		serviceRate = 100.0
 		meanRun     = time.Second
--- a/internal/request/shard/stall_test.go
+++ b/internal/request/shard/stall_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against servers that are quarantined, and runs that are stopped, because their leader was paused and saw no progress.
-func TestLeaderThatStoodStillBlamesNoServer(t *testing.T) {
+func TestPausedLeaderQuarantinesNoServer(t *testing.T) {
 	const step = 50 * time.Millisecond
 	cases := map[string]struct {
 		// seen is the progress listed by the renewals, one per step; a negative one means no answer.
@@ -48,7 +48,7 @@
 }
 
 // Guards against servers that are taken for slow, and waits that are overestimated, because the leader's own pause counts as run time.
-func TestRunsBesideAPauseOfTheirLeaderAreNotTimed(t *testing.T) {
+func TestRunsThatSpanALeaderPauseAreNotTimed(t *testing.T) {
 	chk := is.New(t)
 	har := newHarness(t, serverEntry("s", 64000))
 	before := har.ldr.meanRun
--- a/internal/request/shard/takeover_test.go
+++ b/internal/request/shard/takeover_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestOrderAtANewLeader(t *testing.T) {
+func TestReassignedOrderAtANewLeader(t *testing.T) {
 	// A task was with the former leader. The new leader adopts its run where it finds it. While a server has listed nothing the task may
 	// run there, and must not start elsewhere until a lease without renewal has expired.
 	fresh := func(t *testing.T, lst Listing) *harness {
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestFormerLeaderIsAskedForAnOrder(t *testing.T) {
+func TestReassignedOrderAtAFormerLeader(t *testing.T) {
 	// A leader is paused for two seconds, and another instance takes over its shard and starts tasks. The first goes on as leader and gets
 	// the reassigned order of a running task. If it trusted what its servers listed before the pause, it would return the order as not run,
 	// and the task would run twice.
--- a/internal/request/shard/uplink_test.go
+++ b/internal/request/shard/uplink_test.go
@@ -31,7 +31,7 @@
 	chk.Equal(har.ldr.Load(har.now).LinkBusy, 2*StartBytes(big)+StartBytes("x"))
 }
 
-func TestAnswerLateByTheLink(t *testing.T) {
+func TestAnswerTimeoutGrowsOnAFullLink(t *testing.T) {
 	// A start without an answer makes the next wait longer only if the link was full: a loss on a free link must be noticed as soon as
 	// before.
 	cases := map[string]struct {
