--- a/internal/request/shard/closed_test.go
+++ b/internal/request/shard/closed_test.go
@@ -10,12 +10,12 @@
 // Guards against a leader of a closed shard that starts tasks, keeps waiting orders or stops runs.
 func TestClosedShard(t *testing.T) {
 	cases := map[string]func(chk *is.I, har *harness){
-		"what comes goes back": func(chk *is.I, har *harness) {
+		"a new order is returned": func(chk *is.I, har *harness) {
 			har.record(har.ldr.SetClosed(har.now, true))
 			chk.Equal(len(har.place(0, "j.0")), 0)
 			chk.Equal(har.reports(NotRun), 1)
 		},
-		"what waits goes back, what runs goes on": func(chk *is.I, har *harness) {
+		"waiting orders are returned, runs go on": func(chk *is.I, har *harness) {
 			har.place(0, "j.0", "j.1", "j.2")
 			har.answerStart("j.0", Accepted)
 			har.record(har.ldr.SetClosed(har.now, true))
@@ -30,13 +30,13 @@
 			chk.Equal(len(har.starts()), before)
 			chk.Equal(har.stops(), 1)
 		},
-		"no room is told": func(chk *is.I, har *harness) {
+		"no free capacity is reported": func(chk *is.I, har *harness) {
 			har.record(har.ldr.SetClosed(har.now, true))
 			lod := har.ldr.Load(har.now)
 			chk.True(lod.Closed)
 			chk.Equal(len(lod.Free), 0)
 		},
-		"it is opened again": func(chk *is.I, har *harness) {
+		"the shard is opened again": func(chk *is.I, har *harness) {
 			har.record(har.ldr.SetClosed(har.now, true))
 			har.advance(time.Second)
 			har.record(har.ldr.SetClosed(har.now, false))
--- a/internal/request/shard/events.go
+++ b/internal/request/shard/events.go
@@ -36,8 +36,9 @@
 	return ldr.takeActions()
 }
 
-// retryStart sends a start that got no answer again, with the same run ID, which a server starts at most once. With 30% of answers lost for
-// 6 s, callers get 0.70 of their normal results; they get 0.16 if each loss costs a stop, the proof that the run is over, and a new run.
+// retryStart sends a start that got no answer again, up to startRepeats times, then stops the run. The run ID stays the same, and a server
+// starts each at most once. With 30% of answers lost for 6 s, callers get 0.70 of their normal results; they get 0.16 if each loss costs a
+// stop, the proof that the run is over, and a new run.
 //
 // A server that answers no attempt may still carry the start out seconds later. Only an accepted stop proves that it won't.
 func (ldr *Leader) retryStart(now time.Time, srv *server, rn *run) {
@@ -168,6 +169,7 @@
 // back must not stay idle for long.
 const unreachableRenewDelay = 250 * time.Millisecond
 
+// find returns a server and a run on it; each is nil if not known.
 func (ldr *Leader) find(id ServerID, rid RunID) (*server, *run) {
 	srv := ldr.servers[id]
 	if srv == nil {
@@ -217,6 +219,7 @@
 	return !rn.acceptedAt.IsZero() && sent.After(rn.acceptedAt)
 }
 
+// noteProgress records a listed run. One that is not known here is added as unclaimed.
 func (ldr *Leader) noteProgress(now time.Time, srv *server, prg Progress) {
 	rn := srv.runs[prg.Run]
 	if rn == nil {
@@ -251,10 +254,10 @@
 	if srv.failures < failuresToQuarantine {
 		return
 	}
-	pause := min(ldr.cfg.InitialQuarantine<<min(srv.failures-failuresToQuarantine, maxDoublings), ldr.cfg.MaxQuarantine)
-	srv.quarantinedUntil = now.Add(pause)
+	dur := min(ldr.cfg.InitialQuarantine<<min(srv.failures-failuresToQuarantine, maxDoublings), ldr.cfg.MaxQuarantine)
+	srv.quarantinedUntil = now.Add(dur)
 	ldr.emit(QuarantineServer{
-		Server: srv.ent.ID, Reason: "server fails what it runs", Measure: float64(srv.failures), Duration: pause,
+		Server: srv.ent.ID, Reason: "server fails what it runs", Measure: float64(srv.failures), Duration: dur,
 	})
 }
 
@@ -315,6 +318,7 @@
 	}
 }
 
+// finish removes an order and reports its outcome.
 func (ldr *Leader) finish(ord *order, out Outcome, took time.Duration) {
 	delete(ldr.orders, ord.Task)
 	ldr.report(ord, out, took)
--- a/internal/request/shard/desk_test.go
+++ b/internal/request/shard/harness_test.go
@@ -100,10 +100,10 @@
 }
 
 // otherRuns lists the runs of a server except one.
-func (har *harness) otherRuns(srv *server, but RunID) []Progress {
+func (har *harness) otherRuns(srv *server, except RunID) []Progress {
 	var prgs []Progress
 	for rid := range srv.runs {
-		if rid != but {
+		if rid != except {
 			prgs = append(prgs, Progress{Run: rid})
 		}
 	}
--- a/internal/request/shard/leader.go
+++ b/internal/request/shard/leader.go
@@ -49,6 +49,7 @@
 	confirmedAt time.Time
 }
 
+// foundEnd is an unclaimed end and the server that listed it.
 type foundEnd struct {
 	kind   EndKind
 	server ServerID
@@ -95,6 +96,7 @@
 	return acts
 }
 
+// emit adds an action to those that the event returns.
 func (ldr *Leader) emit(act Action) { ldr.acts = append(ldr.acts, act) }
 
 // SetServers replaces the listing of the shard's servers; it is called with each new listing.
@@ -219,6 +221,7 @@
 	return ldr.takeActions()
 }
 
+// cancelOrder removes a waiting order, or stops its run and removes the order when the run is over.
 func (ldr *Leader) cancelOrder(now time.Time, ord *order) {
 	if ord.run == nil {
 		ldr.que.remove(ord)
@@ -244,6 +247,7 @@
 	ldr.emit(StopRun{Server: srv.ent, Run: rn.id, Token: ldr.token})
 }
 
+// report sends the outcome of an order to its owner.
 func (ldr *Leader) report(ord *order, out Outcome, took time.Duration) {
 	rep := Report{Task: ord.Task, Token: ldr.token, Outcome: out, Took: took, MayHaveRun: ord.mayHaveRun}
 	if ord.srv != nil {
@@ -253,7 +257,7 @@
 }
 
 // Resign gives up the shard and all orders. It reports orders that never started here as NotRun, and the others, which the next leader may
-// let run on, as Lost. Lost are also reassigned orders, as it is not proven that they run nowhere.
+// let run on, as Lost. Waiting reassigned orders are Lost too, as it is not proven that they run nowhere.
 func (ldr *Leader) Resign() []Action {
 	for _, ord := range ldr.orders {
 		switch {
@@ -328,6 +332,7 @@
 	return srv.confirmedAt.Sub(rn.progressAt) > ldr.cfg.StallTimeout-ldr.cfg.RenewWait
 }
 
+// renew sends a renewal. It extends leases only after the takeover, on a confirmed server without an overdue stop.
 func (ldr *Leader) renew(now time.Time, srv *server) {
 	act := Renew{Server: srv.ent, Token: ldr.token, AckedSeq: srv.ackedSeq}
 	if srv.state == confirmed && ldr.takeoverComplete {
@@ -355,9 +360,8 @@
 	ldr.emit(act)
 }
 
-// renewWait returns how long a renewal waits on the server for a run to end. A lost renewal is noticed only after this wait, and runs that
-// ended meanwhile are reported by the next one: so the wait is shorter at a high loss rate, and ends when a run becomes suspect of being
-// slow.
+// renewWait returns how long a renewal waits on the server for a run to end. A lost renewal is noticed only after this wait, and the next
+// one reports the runs that ended meanwhile: so the wait is shorter at a high loss rate. It ends when a run becomes suspect of being slow.
 func (ldr *Leader) renewWait(now time.Time, srv *server) time.Duration {
 	wait := ldr.cfg.RenewWait
 	if ldr.lossy() {
--- a/internal/request/shard/leader_test.go
+++ b/internal/request/shard/leader_test.go
@@ -17,7 +17,7 @@
 			har.record(har.ldr.Cancel(har.now, owner, run.Task))
 			har.record(har.ldr.HandleStopResult(har.now, "s", run, Accepted))
 		},
-		"stop unanswered": func(har *harness, run RunID) {
+		"stop without answer": func(har *harness, run RunID) {
 			har.record(har.ldr.Cancel(har.now, owner, run.Task))
 			har.record(har.ldr.HandleStopResult(har.now, "s", run, Unknown))
 		},
@@ -67,17 +67,17 @@
 	// run has ended there already. Were that taken for a refused start, the task would start a second time.
 	cases := map[string]struct {
 		answer    CallResult
-		look      func(run RunID) RenewResult
+		renewal   func(run RunID) RenewResult
 		done, new int
 	}{
 		"runs there": {
-			answer: Accepted, look: func(run RunID) RenewResult { return RenewResult{Running: []Progress{{Run: run}}} },
+			answer: Accepted, renewal: func(run RunID) RenewResult { return RenewResult{Running: []Progress{{Run: run}}} },
 		},
 		"has ended there": {
-			answer: Refused, look: func(run RunID) RenewResult { return RenewResult{Ended: []End{{Seq: 1, Run: run, Kind: EndedDone}}} }, done: 1,
+			answer: Refused, renewal: func(run RunID) RenewResult { return RenewResult{Ended: []End{{Seq: 1, Run: run, Kind: EndedDone}}} }, done: 1,
 		},
 		"never came there": {
-			answer: Refused, look: func(RunID) RenewResult { return RenewResult{} }, new: 1,
+			answer: Refused, renewal: func(RunID) RenewResult { return RenewResult{} }, new: 1,
 		},
 	}
 	for name, cse := range cases {
@@ -89,7 +89,7 @@
 			chk.Equal(har.answerStart("j.0", cse.answer), run)
 			har.acts = nil
 			har.advance(10 * time.Millisecond)
-			har.answerRenewal(srv, cse.look(run))
+			har.answerRenewal(srv, cse.renewal(run))
 			chk.Equal(har.reports(Done), cse.done)
 			chk.Equal(len(har.starts()), cse.new)
 			chk.Equal(har.stops(), 0)
@@ -311,14 +311,14 @@
 	cases := map[string]struct {
 		owner   InstanceID
 		heardAt time.Duration
-		heldUp  bool
+		paused  bool
 		starts  int
 	}{
 		"heard just now":                       {owner: owner, heardAt: 2 * time.Second, starts: 1},
-		"heard before the hold-up":             {owner: owner},
-		"missed any moment":                    {owner: owner, heardAt: 2*time.Second - DefaultConfig().OwnerTimeout - 1},
+		"heard before the pause":               {owner: owner},
+		"about to be taken for lost":           {owner: owner, heardAt: 2*time.Second - DefaultConfig().OwnerTimeout - 1},
 		"the own instance":                     {owner: "self/1", starts: 1},
-		"the own instance, sockets to be read": {owner: "self/1", heldUp: true},
+		"the own instance, sockets to be read": {owner: "self/1", paused: true},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -336,12 +336,12 @@
 			if cse.heardAt > 0 {
 				har.ldr.HandleOwnerHeard(cse.owner, began.Add(cse.heardAt))
 			}
-			if cse.heldUp {
+			if cse.paused {
 				har.ldr.HandlePause(har.now.Add(50 * time.Millisecond))
 			}
 			har.answerRenewal("s1", RenewResult{Ended: []End{{Seq: 1, Run: run}}})
 			chk.Equal(len(har.starts()), cse.starts)
-			if cse.heldUp {
+			if cse.paused {
 				har.now = har.now.Add(50 * time.Millisecond)
 				har.record(har.ldr.Tick(har.now))
 				chk.Equal(len(har.starts()), 1)
--- a/internal/request/shard/stall_test.go
+++ b/internal/request/shard/pause_test.go
@@ -17,14 +17,14 @@
 		pause time.Duration
 		want  int
 	}{
-		"it stood still for a second":             {seen: []int{5, 10, 15}, pause: time.Second},
-		"it stood still for half a second":        {seen: []int{5, 10, 15}, pause: 500 * time.Millisecond},
-		"it stood still after the first look":     {seen: []int{5}, pause: time.Second},
-		"it stood still, and a look shows it":     {seen: []int{5, 5}, pause: time.Second},
-		"the server does not answer":              {seen: []int{5, -1, -1, -1, -1, -1, -1, -1, -1, -1}},
-		"the task stands still":                   {seen: []int{5, 5, 5, 5, 5, 5, 5, 5, 5, 5}, want: 1},
-		"the task stands still, half the looks":   {seen: []int{5, -1, 5, -1, 5, -1, 5, -1, 5, 5}, want: 1},
-		"the task goes on after it stood a while": {seen: []int{5, 5, 5, 5, 5, 10, 10, 10, 10, 15}},
+		"the leader is paused for a second":             {seen: []int{5, 10, 15}, pause: time.Second},
+		"the leader is paused for half a second":        {seen: []int{5, 10, 15}, pause: 500 * time.Millisecond},
+		"it is paused after the first renewal":          {seen: []int{5}, pause: time.Second},
+		"it is paused, and a renewal shows no progress": {seen: []int{5, 5}, pause: time.Second},
+		"the server does not answer":                    {seen: []int{5, -1, -1, -1, -1, -1, -1, -1, -1, -1}},
+		"the task makes no progress":                    {seen: []int{5, 5, 5, 5, 5, 5, 5, 5, 5, 5}, want: 1},
+		"the task makes no progress, half the renewals": {seen: []int{5, -1, 5, -1, 5, -1, 5, -1, 5, 5}, want: 1},
+		"the task makes progress again after a while":   {seen: []int{5, 5, 5, 5, 5, 10, 10, 10, 10, 15}},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/request/shard/place.go
+++ b/internal/request/shard/place.go
@@ -138,11 +138,12 @@
 	return num
 }
 
+// start starts a waiting order on a server, as a new run.
 func (ldr *Leader) start(now time.Time, srv *server, ord *order) {
 	// The run numbers of a task must rise across its leaders. The time of day does; a leader that starts a task twice within a millisecond
 	// adds one.
 	ord.runNumber = max(ord.runNumber+1, now.UnixMilli())
-	ldr.siblings(now, ord.Step).begun = true
+	ldr.siblings(now, ord.Step).started = true
 	rn := &run{id: RunID{Task: ord.Task, Number: ord.runNumber}, ord: ord, sentAt: now, firstStart: !ord.mayHaveRun}
 	ord.mayHaveRun = true
 	srv.add(rn)
@@ -151,6 +152,7 @@
 	ldr.sendStart(now, srv, rn)
 }
 
+// sendStart sends the start of a run, with a new lease.
 func (ldr *Leader) sendStart(now time.Time, srv *server, rn *run) {
 	srv.renewedAt = now
 	ldr.link.noteStart(rn.ord.Payload)
@@ -166,6 +168,7 @@
 	processor, memory int64
 }
 
+// freeServers are the servers that accept tasks in a placement round.
 type freeServers []freeServer
 
 // most returns the largest free processor. Orders that need more are passed over at once, as a queue may hold hundreds while nothing is
@@ -178,6 +181,7 @@
 	return mst
 }
 
+// freeServers returns the servers that accept tasks and have free processor.
 func (ldr *Leader) freeServers(now time.Time) freeServers {
 	fss := ldr.freeBuf[:0]
 	for _, srv := range ldr.servers {
@@ -213,6 +217,7 @@
 	return bst
 }
 
+// rank returns how well the server suits an order apart from free capacity; 0 is best.
 func (fsv *freeServer) rank(ord *order) int {
 	rnk := 0
 	if slices.Contains(ord.Avoid, fsv.srv.ent.ID) {
@@ -224,6 +229,7 @@
 	return rnk
 }
 
+// tighter reports whether the server has less free processor than another; server IDs break ties.
 func (fsv *freeServer) tighter(oth *freeServer) bool {
 	if fsv.processor != oth.processor {
 		return fsv.processor < oth.processor
--- a/internal/request/shard/queue.go
+++ b/internal/request/shard/queue.go
@@ -26,7 +26,9 @@
 }
 
 // jobBegun reports whether another task of the job may have started, in this shard or another.
-func (ord *order) jobBegun() bool { return ord.JobStarted || ord.siblings != nil && ord.siblings.begun }
+func (ord *order) jobStarted() bool {
+	return ord.JobStarted || ord.siblings != nil && ord.siblings.started
+}
 
 // submission returns the submission's part of the task's name.
 func (ord *order) submission() string {
@@ -34,7 +36,7 @@
 	return sub
 }
 
-// compare orders by priority, then by arrival, so that the tasks of a submission start together: its answer needs the last of them.
+// compare sorts orders by priority, then by arrival, so that the tasks of a submission start together: its answer needs the last of them.
 func compare(one, two *order) int {
 	return cmp.Or(
 		cmp.Compare(one.Priority, two.Priority),
--- a/internal/request/shard/rank.go
+++ b/internal/request/shard/rank.go
@@ -38,7 +38,7 @@
 // the work done for it would be lost.
 func (ldr *Leader) rank(now time.Time, ord *order) Rank {
 	done := now.Add(ord.ExpectedRunTime)
-	if ord.jobBegun() && !done.After(ord.UsefulUntil) {
+	if ord.jobStarted() && !done.After(ord.UsefulUntil) {
 		done = ord.Due
 	}
 	return RankOf(ord.Priority, done, ord.Due, ord.UsefulUntil)
@@ -75,8 +75,8 @@
 		}
 	}
 	span := now.Sub(drn.at)
-	none := drn.started == [Ranks]float64{} && waiting != [Ranks]int64{}
-	if span < drainInterval || none && span < stuckRunTimes*meanRun {
+	noStarts := drn.started == [Ranks]float64{} && waiting != [Ranks]int64{}
+	if span < drainInterval || noStarts && span < stuckRunTimes*meanRun {
 		return
 	}
 	for rnk := range drn.rate {
--- a/internal/request/shard/server.go
+++ b/internal/request/shard/server.go
@@ -108,6 +108,7 @@
 	}
 }
 
+// count adds a run to the counts of the server, or removes it if sign is -1.
 func (srv *server) count(rn *run, sign int64) {
 	if rn.ord == nil {
 		srv.unclaimed += int(sign)
@@ -167,6 +168,7 @@
 	return ord.MaxPerServer <= 0 || srv.countStep(ord.Step) < ord.MaxPerServer
 }
 
+// countStep returns how many runs of a step the server has.
 func (srv *server) countStep(step string) int {
 	num := 0
 	for _, rn := range srv.runs {
@@ -203,9 +205,9 @@
 
 // hasOverdueStop reports whether a run has waited longer than patience for a stop to be accepted. Renewing the server's leases would
 // keep that run alive past the time at which its caller submits the job again.
-func (srv *server) hasOverdueStop(now time.Time, patience time.Duration) bool {
+func (srv *server) hasOverdueStop(now time.Time, timeout time.Duration) bool {
 	for _, rn := range srv.runs {
-		if rn.state == ending && rn.stopAcceptedAt.IsZero() && !rn.stopAt.IsZero() && now.Sub(rn.stopAt) > patience {
+		if rn.state == ending && rn.stopAcceptedAt.IsZero() && !rn.stopAt.IsZero() && now.Sub(rn.stopAt) > timeout {
 			return true
 		}
 	}
@@ -219,6 +221,7 @@
 	maxDoublings         = 8
 )
 
+// succeeded ends the count of failures, and any quarantine for them.
 func (srv *server) succeeded() {
 	srv.failures, srv.lastFailed, srv.quarantinedUntil = 0, "", time.Time{}
 }
--- a/internal/request/shard/speed.go
+++ b/internal/request/shard/speed.go
@@ -38,8 +38,8 @@
 	evidence float64
 	// step is the last step whose run was compared with its estimate: further tasks of it have the same error.
 	step string
-	// The server is quarantined until quarantinedUntil; quarantines counts those in a row. tried is set once a run has ended since the
-	// last.
+	// The server is quarantined until quarantinedUntil; quarantines counts those in a row. tried is set once a run was
+	// judged since the last.
 	quarantinedUntil time.Time
 	quarantines      int
 	tried            bool
@@ -64,10 +64,10 @@
 
 // siblings holds the sum of the logarithms of the run times of a step's tasks, their count, and whether a task was started here.
 type siblings struct {
-	since time.Time
-	sum   float64
-	count int
-	begun bool
+	since   time.Time
+	sum     float64
+	count   int
+	started bool
 }
 
 // mean returns the mean logarithm of the run times in seconds.
@@ -134,9 +134,9 @@
 		}
 		return
 	}
-	pause := min(firstSlowQuarantine<<min(spd.quarantines, maxDoublings), longestSlowQuarantine)
-	ldr.emit(QuarantineServer{Server: srv.ent.ID, Reason: "server is slow", Measure: ratio, Duration: pause})
-	spd.quarantinedUntil = now.Add(pause)
+	dur := min(firstSlowQuarantine<<min(spd.quarantines, maxDoublings), longestSlowQuarantine)
+	ldr.emit(QuarantineServer{Server: srv.ent.ID, Reason: "server is slow", Measure: ratio, Duration: dur})
+	spd.quarantinedUntil = now.Add(dur)
 	spd.quarantines++
 	spd.evidence, spd.tried = 0, false
 }
@@ -150,12 +150,12 @@
 	elapsed := now.Sub(rn.sentAt)
 	whole := elapsed * percents / time.Duration(rn.percent)
 	mean, _, known := ldr.expectedRunTime(rn.ord)
-	usual := time.Duration(math.Exp(mean) * float64(time.Second))
-	if !known || whole < time.Duration(slowFactor*float64(usual)) {
+	expected := time.Duration(math.Exp(mean) * float64(time.Second))
+	if !known || whole < time.Duration(slowFactor*float64(expected)) {
 		return
 	}
 	ldr.observeRunTime(now, srv, rn, whole)
-	if now.Before(srv.spd.quarantinedUntil) && whole-elapsed > restartGain*usual && ldr.fitsElsewhere(now, srv, rn.ord) {
+	if now.Before(srv.spd.quarantinedUntil) && whole-elapsed > restartGain*expected && ldr.fitsElsewhere(now, srv, rn.ord) {
 		rn.ord.Avoid = append(rn.ord.Avoid, srv.ent.ID)
 		ldr.stopRun(now, srv, rn)
 	}
@@ -197,10 +197,10 @@
 )
 
 // fitsElsewhere reports whether a task could start at once on another server.
-func (ldr *Leader) fitsElsewhere(now time.Time, but *server, ord *order) bool {
+func (ldr *Leader) fitsElsewhere(now time.Time, except *server, ord *order) bool {
 	for _, srv := range ldr.servers {
 		prc, mem := srv.free()
-		if srv != but && srv.acceptsTasks(now, ldr.missedTolerated()) && prc >= ord.Processor && mem >= ord.Memory && srv.suits(ord) {
+		if srv != except && srv.acceptsTasks(now, ldr.missedTolerated()) && prc >= ord.Processor && mem >= ord.Memory && srv.suits(ord) {
 			return true
 		}
 	}
--- a/internal/request/shard/takeover.go
+++ b/internal/request/shard/takeover.go
@@ -122,6 +122,7 @@
 	return true
 }
 
+// stopUnclaimed stops the runs on a server that no order has come for.
 func (ldr *Leader) stopUnclaimed(now time.Time, srv *server) {
 	for _, rn := range srv.runs {
 		if rn.ord == nil {
--- a/internal/request/shard/takeover_test.go
+++ b/internal/request/shard/takeover_test.go
@@ -22,67 +22,67 @@
 		return har
 	}
 	running := RenewResult{Running: []Progress{{Run: RunID{Task: "j.0", Number: 5}, Percent: 10}}}
-	followedFrom := func(har *harness, at ServerID) {
+	reassignedFrom := func(har *harness, at ServerID) {
 		ord := har.order(0, "j.0")
 		ord.Reassigned, ord.LastServer = true, at
 		har.record(har.ldr.HandleOrder(har.now, ord))
 	}
-	followed := func(har *harness) { followedFrom(har, "") }
+	reassigned := func(har *harness) { reassignedFrom(har, "") }
 	cases := map[string]struct {
 		// list is the listing at the takeover; both servers if it is empty.
-		list         Listing
-		story        func(har *harness)
-		begun, stops int
+		list           Listing
+		story          func(har *harness)
+		started, stops int
 		// returned counts orders that run nowhere and go back to their owner for their payload.
 		returned int
 	}{
-		"listed, then asked for": {
+		"listed, then ordered": {
 			story: func(har *harness) {
 				har.answerRenewal("s1", running)
 				har.answerRenewal("s2", RenewResult{})
-				followed(har)
+				reassigned(har)
 			},
-			begun: 1,
+			started: 1,
 		},
-		"asked for, then listed": {
+		"ordered, then listed": {
 			story: func(har *harness) {
-				followed(har)
+				reassigned(har)
 				har.answerRenewal("s1", running)
 				har.answerRenewal("s2", RenewResult{})
 			},
-			begun: 1,
+			started: 1,
 		},
-		"never asked for": {
+		"never ordered": {
 			story: func(har *harness) { har.answerRenewal("s1", running); har.answerRenewal("s2", RenewResult{}) },
 			stops: 1,
 		},
-		"nowhere": {
+		"runs nowhere": {
 			story: func(har *harness) {
-				followed(har)
+				reassigned(har)
 				har.answerRenewal("s1", RenewResult{})
 				har.answerRenewal("s2", RenewResult{})
 			},
 			returned: 1,
 		},
-		"one server is silent, before the lease has passed": {
-			story: func(har *harness) { har.answerRenewal("s1", RenewResult{}); followed(har) },
+		"one server does not answer, before the lease has expired": {
+			story: func(har *harness) { har.answerRenewal("s1", RenewResult{}); reassigned(har) },
 		},
-		"one server is silent, after it": {
+		"one server does not answer, after the lease has expired": {
 			story: func(har *harness) {
 				har.answerRenewal("s1", RenewResult{})
-				followed(har)
+				reassigned(har)
 				har.advance(DefaultConfig().OrphanExpiry)
 			},
 			returned: 1,
 		},
-		"its last server is listed, another one silent": {
+		"its last server answers, another one does not": {
 			// A former leader that reaches the server without an answer may have started the task there since.
-			story: func(har *harness) { har.answerRenewal("s1", RenewResult{}); followedFrom(har, "s1") },
+			story: func(har *harness) { har.answerRenewal("s1", RenewResult{}); reassignedFrom(har, "s1") },
 		},
-		"its last server is listed, another one silent, after the lease": {
+		"its last server answers, another one does not, after the lease has expired": {
 			story: func(har *harness) {
 				har.answerRenewal("s1", RenewResult{})
-				followedFrom(har, "s1")
+				reassignedFrom(har, "s1")
 				har.advance(DefaultConfig().OrphanExpiry)
 			},
 			returned: 1,
@@ -92,19 +92,19 @@
 			story: func(har *harness) {
 				har.answerRenewal("s1", RenewResult{})
 				har.answerRenewal("s2", RenewResult{})
-				followedFrom(har, "s3")
+				reassignedFrom(har, "s3")
 			},
 		},
-		"the list was read before the take-over": {
+		"the list was read before the takeover": {
 			// The former leader may have taken over a server that was added since, or whose entry is gone.
 			list:  Listing{Listed: []ServerEntry{serverEntry("s1", 32000)}, ReadAt: time.Unix(1000, 0)},
-			story: func(har *harness) { har.answerRenewal("s1", RenewResult{}); followed(har) },
+			story: func(har *harness) { har.answerRenewal("s1", RenewResult{}); reassigned(har) },
 		},
-		"the list was read again after it": {
+		"the list was read again after the takeover": {
 			list: Listing{Listed: []ServerEntry{serverEntry("s1", 32000)}, ReadAt: time.Unix(1000, 0)},
 			story: func(har *harness) {
 				har.answerRenewal("s1", RenewResult{})
-				followed(har)
+				reassigned(har)
 				har.record(har.ldr.SetServers(har.now, Listing{
 					Listed: []ServerEntry{serverEntry("s1", 32000)}, ReadAt: har.now.Add(time.Millisecond),
 				}))
@@ -117,16 +117,16 @@
 					Listed: []ServerEntry{serverEntry("s1", 32000)}, Missing: []ServerEntry{serverEntry("s3", 32000)},
 				}))
 				har.answerRenewal("s1", RenewResult{})
-				followed(har)
+				reassigned(har)
 				har.answerRenewal("s3", running)
 			},
-			begun: 1,
+			started: 1,
 		},
-		"it ended meanwhile": {
+		"its run has ended": {
 			story: func(har *harness) {
 				har.answerRenewal("s1", RenewResult{Ended: []End{{Seq: 3, Run: RunID{Task: "j.0", Number: 5}}}})
 				har.answerRenewal("s2", RenewResult{})
-				followed(har)
+				reassigned(har)
 			},
 		},
 	}
@@ -136,11 +136,11 @@
 			har := fresh(t, cse.list)
 			cse.story(har)
 			har.advance(DefaultConfig().TakeoverWait)
-			chk.Equal(har.reports(Started), cse.begun)
+			chk.Equal(har.reports(Started), cse.started)
 			chk.Equal(har.reports(NotRun), cse.returned)
 			chk.Equal(len(har.starts()), 0)
 			chk.Equal(har.stops(), cse.stops)
-			if name == "it ended meanwhile" {
+			if name == "its run has ended" {
 				chk.Equal(har.reports(Done), 1)
 			}
 		})
@@ -156,12 +156,12 @@
 		list, left, all []ServerEntry
 		answer          []ServerID
 	}{
-		"it never had one":                       {},
-		"its only one has lapsed and is silent":  {list: []ServerEntry{s1}},
-		"all have lapsed and are silent":         {list: []ServerEntry{s1, s2}},
-		"one of two has lapsed and is silent":    {list: []ServerEntry{s1, s2}, left: []ServerEntry{s2}, answer: []ServerID{"s2"}},
-		"one of two belongs to another shard":    {list: []ServerEntry{s1, s2}, left: []ServerEntry{s2}, all: []ServerEntry{s1, s2}, answer: []ServerID{"s1", "s2"}},
-		"one of two has obeyed it and is silent": {list: []ServerEntry{s1, s2}, left: []ServerEntry{s2}, answer: []ServerID{"s1", "s2"}},
+		"it never had one": {},
+		"the only one has expired and does not answer":      {list: []ServerEntry{s1}},
+		"all have expired and do not answer":                {list: []ServerEntry{s1, s2}},
+		"one of two has expired and does not answer":        {list: []ServerEntry{s1, s2}, left: []ServerEntry{s2}, answer: []ServerID{"s2"}},
+		"one of two belongs to another shard":               {list: []ServerEntry{s1, s2}, left: []ServerEntry{s2}, all: []ServerEntry{s1, s2}, answer: []ServerID{"s1", "s2"}},
+		"one of two has confirmed it and no longer answers": {list: []ServerEntry{s1, s2}, left: []ServerEntry{s2}, answer: []ServerID{"s1", "s2"}},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -205,16 +205,16 @@
 	// and the task would run twice.
 	cases := map[string]struct {
 		at             ServerID
-		verdict        CallResult
-		look           RenewResult
+		result         CallResult
+		renewal        RenewResult
 		returned, lost int
 	}{
-		"its servers obey another one":                 {verdict: Fenced, lost: 1},
-		"the task's server obeys another one":          {at: "s1", verdict: Fenced, lost: 1},
-		"its servers obey it, the task runs nowhere":   {returned: 1},
-		"its server obeys it, the task runs nowhere":   {at: "s1", returned: 1},
-		"the task's server has not answered":           {at: "s1", verdict: Unknown},
-		"the task runs after all, for a former leader": {look: RenewResult{Running: []Progress{{Run: RunID{Task: "j.0", Number: 5}}}}},
+		"its servers confirm another leader":                   {result: Fenced, lost: 1},
+		"the task's server confirms another leader":            {at: "s1", result: Fenced, lost: 1},
+		"its servers confirm it, the task runs nowhere":        {returned: 1},
+		"the task's server confirms it, the task runs nowhere": {at: "s1", returned: 1},
+		"the task's server has not answered":                   {at: "s1", result: Unknown},
+		"the task runs after all, for a former leader":         {renewal: RenewResult{Running: []Progress{{Run: RunID{Task: "j.0", Number: 5}}}}},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -228,7 +228,7 @@
 			ord.Reassigned, ord.LastServer = true, cse.at
 			har.record(har.ldr.HandleOrder(har.now, ord))
 			chk.Equal(har.reports(NotRun), 0) // Nothing is known yet.
-			har.answerRenewalSentAt("s1", har.now, cse.look, cse.verdict)
+			har.answerRenewalSentAt("s1", har.now, cse.renewal, cse.result)
 			if har.ldr.LostServers() > 0 {
 				har.record(har.ldr.Resign())
 			}
--- a/internal/request/shard/hopeless.go
+++ b/internal/request/shard/toolate.go
@@ -36,12 +36,13 @@
 // tooLate reports whether an order that starts at start would be done too late to be of use. An order of no use on arrival, because its
 // caller had sent it before or its route has no objective, was admitted to wait for low load and is never too late.
 func (ord *order) tooLate(start time.Time) bool {
-	if ord.Reassigned || ord.jobBegun() || !ord.UsefulUntil.After(ord.Arrived) {
+	if ord.Reassigned || ord.jobStarted() || !ord.UsefulUntil.After(ord.Arrived) {
 		return false
 	}
 	return start.Add(ord.ExpectedRunTime).After(ord.UsefulUntil)
 }
 
+// returnTooLate returns one order to its owner as too late.
 func (ldr *Leader) returnTooLate(ord *order) {
 	delete(ldr.orders, ord.Task)
 	ldr.emit(SendReport{Owner: ord.Owner, Report: Report{
--- a/internal/request/shard/hopeless_test.go
+++ b/internal/request/shard/toolate_test.go
@@ -10,7 +10,7 @@
 // Guards against an order that waits for a full server until its caller's time is over, without a report before that.
 func TestTooLateOrderIsReturned(t *testing.T) {
 	cases := map[string]struct {
-		led    time.Duration
+		ledFor time.Duration
 		before []string
 		change func(ord *Order)
 		after  time.Duration
@@ -20,23 +20,23 @@
 			change: func(*Order) {}, after: 100 * time.Millisecond,
 		},
 		"it would be done too late": {
-			led: ratesKnownAfter, change: func(ord *Order) { ord.UsefulUntil = ord.Arrived.Add(150 * time.Millisecond) }, after: 100 * time.Millisecond, want: 1,
+			ledFor: ratesKnownAfter, change: func(ord *Order) { ord.UsefulUntil = ord.Arrived.Add(150 * time.Millisecond) }, after: 100 * time.Millisecond, want: 1,
 		},
 		"it would be done too late, behind others": {
 			before: []string{"j1.0", "j2.0"},
-			led:    ratesKnownAfter, change: func(ord *Order) { ord.UsefulUntil = ord.Arrived.Add(300 * time.Millisecond) }, after: 20 * time.Millisecond, want: 1,
+			ledFor: ratesKnownAfter, change: func(ord *Order) { ord.UsefulUntil = ord.Arrived.Add(300 * time.Millisecond) }, after: 20 * time.Millisecond, want: 1,
 		},
-		"a leader that has just taken the shard over can't tell": {
+		"just after a takeover the rates are not known": {
 			change: func(ord *Order) { ord.UsefulUntil = ord.Arrived.Add(150 * time.Millisecond) }, after: 100 * time.Millisecond,
 		},
-		"it was admitted for a lull": {
-			led: ratesKnownAfter, change: func(ord *Order) { ord.UsefulUntil = ord.Arrived }, after: 100 * time.Millisecond,
+		"it was admitted to wait for low load": {
+			ledFor: ratesKnownAfter, change: func(ord *Order) { ord.UsefulUntil = ord.Arrived }, after: 100 * time.Millisecond,
 		},
-		"its job has begun elsewhere": {
-			led: ratesKnownAfter, change: func(ord *Order) { ord.UsefulUntil, ord.JobStarted = ord.Arrived.Add(time.Millisecond), true }, after: 100 * time.Millisecond,
+		"its job has started elsewhere": {
+			ledFor: ratesKnownAfter, change: func(ord *Order) { ord.UsefulUntil, ord.JobStarted = ord.Arrived.Add(time.Millisecond), true }, after: 100 * time.Millisecond,
 		},
-		"it may run here for an earlier leader": {
-			led: ratesKnownAfter, change: func(ord *Order) { ord.UsefulUntil, ord.Reassigned = ord.Arrived.Add(time.Millisecond), true }, after: 100 * time.Millisecond,
+		"it may run here for a former leader": {
+			ledFor: ratesKnownAfter, change: func(ord *Order) { ord.UsefulUntil, ord.Reassigned = ord.Arrived.Add(time.Millisecond), true }, after: 100 * time.Millisecond,
 		},
 	}
 	for name, cse := range cases {
@@ -45,7 +45,7 @@
 			har := newHarness(t, serverEntry("s", size))
 			har.place(0, "j0.0")
 			har.answerStart("j0.0", Accepted)
-			har.advance(cse.led)
+			har.advance(cse.ledFor)
 			har.place(0, cse.before...)
 			ord := har.order(0, "z.0")
 			cse.change(&ord)
--- a/internal/request/shard/uplink.go
+++ b/internal/request/shard/uplink.go
@@ -62,7 +62,7 @@
 // SetPeerBytes sets how many bytes are in flight to other instances.
 func (upl *Uplink) SetPeerBytes(num int64) { upl.peerBytes = num }
 
-// NotePeerSend counts an order about to be sent to another instance, until the next SetPeerBytes includes it.
+// Sends counts an order about to be sent to another instance, until the next SetPeerBytes includes it.
 func (upl *Uplink) Sends(payload string) { upl.peerBytes += StartBytes(payload) }
 
 // Fits reports whether a start, or an order to another instance, with a payload may be sent now. A payload larger than the window is sent
@@ -71,6 +71,7 @@
 	return upl.busyBytes() == 0 || upl.busyBytes()+StartBytes(payload) <= upl.window
 }
 
+// busyBytes returns how many bytes are in flight.
 func (upl *Uplink) busyBytes() int64 { return upl.inFlight + upl.peerBytes }
 
 // SetQueuedBytes sets how many bytes wait on this instance for the link.
@@ -89,6 +90,7 @@
 // StartBytes returns how many bytes a start with a payload sends.
 func StartBytes(payload string) int64 { return int64(len(payload)) + startOverhead }
 
+// noteStart counts a start as in flight until HandleStartResult.
 func (upl *Uplink) noteStart(payload string) { upl.inFlight += StartBytes(payload) }
 
 // HandleStartResult records that a start's call is over after took. A start without an answer on a full link most likely still waits there,
