--- a/internal/process/daemon/decide.go
+++ b/internal/process/daemon/decide.go
@@ -145,7 +145,7 @@
 func (dmn *Daemon) leaveDisobeyed(now time.Time) {
 	for shd := range dmn.divided {
 		ldr := dmn.leaders[shd.Name]
-		if shd.Domain != dmn.prm.Settings.FailureDomain && ldr != nil && ldr.Unconfirmed(now) {
+		if shd.Domain != dmn.prm.Settings.FailureDomain && ldr != nil && ldr.Isolated(now) {
 			dmn.abandon(now, shd.Name, false)
 		}
 	}
--- a/internal/process/succession/explore_node_test.go
+++ b/internal/process/succession/explore_node_test.go
@@ -259,7 +259,7 @@
 	}
 	nod.leaveWeaker()
 	for _, shd := range Sorted(nod.shards()) {
-		if ldr := nod.ldrs[shd.Name]; ldr != nil && shd.Domain != nod.domain && ldr.Unconfirmed(now) {
+		if ldr := nod.ldrs[shd.Name]; ldr != nil && shd.Domain != nod.domain && ldr.Isolated(now) {
 			nod.abandon(shd.Name, false)
 		}
 	}
--- a/internal/request/shard/action.go
+++ b/internal/request/shard/action.go
@@ -69,8 +69,8 @@
 	Lease time.Duration
 	// RenewWait is how long a renewal waits on the server for a run to end, and so the interval of renewals.
 	RenewWait time.Duration
-	// TakeoverWait is the longest time a new leader waits for orders for the runs that it finds.
-	TakeoverWait time.Duration
+	// AdoptWait is the longest time a new leader waits for orders for the runs that it finds.
+	AdoptWait time.Duration
 	// StopRetryDelay is the delay before a stop without an answer is repeated.
 	StopRetryDelay time.Duration
 	// StopTimeout is how long a stop may stay without an answer before the server's leases are no longer renewed.
@@ -97,7 +97,7 @@
 	return Config{
 		Lease:             600 * time.Millisecond,
 		RenewWait:         200 * time.Millisecond,
-		TakeoverWait:      120 * time.Millisecond,
+		AdoptWait:      120 * time.Millisecond,
 		StopRetryDelay:    20 * time.Millisecond,
 		StopTimeout:       100 * time.Millisecond,
 		OrphanExpiry:      850 * time.Millisecond,
--- a/internal/request/shard/events.go
+++ b/internal/request/shard/events.go
@@ -183,7 +183,7 @@
 	first := srv.state == claiming
 	srv.state = confirmed
 	srv.missed = 0
-	srv.confirmedAt, ldr.confirmedAt = sent, now
+	srv.confirmedAt, ldr.heardAt = sent, now
 	srv.setClock(now, ans.Clock)
 	for _, end := range ans.Ended {
 		if end.Seq > srv.ackedSeq {
@@ -286,7 +286,7 @@
 		srv.drop(rn)
 	}
 	if rn == nil || rn.ord == nil {
-		if ldr.adoptionOpen(now) {
+		if ldr.adopting(now) {
 			ldr.unclaimedEnds[end.Run.Task] = foundEnd{kind: end.Kind, server: srv.ent.ID}
 		}
 		return
--- a/internal/request/shard/harness_test.go
+++ b/internal/request/shard/harness_test.go
@@ -32,7 +32,7 @@
 	for _, ent := range ents {
 		har.answerRenewal(ent.ID, RenewResult{Clock: time.Minute})
 	}
-	har.advance(DefaultConfig().TakeoverWait)
+	har.advance(DefaultConfig().AdoptWait)
 	har.acts = nil
 	return har
 }
--- a/internal/request/shard/leader.go
+++ b/internal/request/shard/leader.go
@@ -45,8 +45,8 @@
 	lossRate float64
 	// lostServers counts the servers that were dropped because they accepted another leader's token.
 	lostServers int
-	// confirmedAt is when a server last answered a renewal with this leader's token; at first the time of the takeover.
-	confirmedAt time.Time
+	// heardAt is when a server last answered a renewal with this leader's token; at first the time of the takeover.
+	heardAt time.Time
 }
 
 // foundEnd is an unclaimed end and the server that listed it.
@@ -58,7 +58,7 @@
 // NewLeader returns the leader of a shard that was taken over with a fencing token; link is shared by all leaders of the instance.
 func NewLeader(cfg Config, link *Uplink, name Name, token int64, now time.Time) *Leader {
 	return &Leader{
-		cfg: cfg, link: link, name: name, token: token, takeoverAt: now, confirmedAt: now,
+		cfg: cfg, link: link, name: name, token: token, takeoverAt: now, heardAt: now,
 		servers: map[ServerID]*server{}, orders: map[string]*order{}, unclaimedEnds: map[string]foundEnd{},
 		ownersHeard: map[InstanceID]time.Time{},
 		steps:       map[string]*siblings{}, meanRun: initialMeanRun, stepsPrunedAt: now,
@@ -84,10 +84,8 @@
 // LostServers returns how many servers were dropped because they accepted another leader's token.
 func (ldr *Leader) LostServers() int { return ldr.lostServers }
 
-// Unconfirmed reports whether no server has confirmed the leader's token for Config.ConfirmTimeout.
-func (ldr *Leader) Unconfirmed(now time.Time) bool {
-	return now.Sub(ldr.confirmedAt) > ldr.cfg.ConfirmTimeout
-}
+// Isolated reports whether no server has confirmed the leader's token for Config.ConfirmTimeout.
+func (ldr *Leader) Isolated(now time.Time) bool { return now.Sub(ldr.heardAt) > ldr.cfg.ConfirmTimeout }
 
 // takeActions returns and clears the pending actions.
 func (ldr *Leader) takeActions() []Action {
@@ -161,7 +159,7 @@
 	if req.Recall {
 		return ldr.takeActions()
 	}
-	ord := &order{Order: req, receivedAt: now, siblings: ldr.siblings(now, req.Step)}
+	ord := &order{Order: req, receivedAt: now, sibs: ldr.siblings(now, req.Step)}
 	ldr.orders[req.Task] = ord
 	if !ldr.adopt(now, ord) {
 		if req.Reassigned && !ldr.runsNowhere(ord) {
@@ -280,7 +278,7 @@
 		ldr.dropUnlisted(now, srv)
 	}
 	ldr.pruneSteps(now)
-	if !ldr.adoptionOpen(now) {
+	if !ldr.adopting(now) {
 		clear(ldr.unclaimedEnds)
 	}
 	ldr.rates.update(now, ldr.serviceRate(), ldr.meanRun, ldr.waiting(now))
--- a/internal/request/shard/queue.go
+++ b/internal/request/shard/queue.go
@@ -12,8 +12,8 @@
 	Order
 	// run is set while the order has a run.
 	run *run
-	// siblings is the record of its step's run times, kept here because each placement round needs it.
-	siblings *siblings
+	// sibs is the record of its step's run times, kept here because each placement round needs it.
+	sibs *siblings
 	srv      *server
 	// receivedAt is when the order came to this leader.
 	receivedAt time.Time
@@ -26,9 +26,7 @@
 }
 
 // jobBegun reports whether another task of the job may have started, in this shard or another.
-func (ord *order) jobStarted() bool {
-	return ord.JobStarted || ord.siblings != nil && ord.siblings.started
-}
+func (ord *order) jobStarted() bool { return ord.JobStarted || ord.sibs != nil && ord.sibs.started }
 
 // submission returns the submission's part of the task's name.
 func (ord *order) submission() string {
--- a/internal/request/shard/takeover.go
+++ b/internal/request/shard/takeover.go
@@ -93,7 +93,7 @@
 // completeTakeover completes the takeover when its conditions hold. It stops the unclaimed runs before any lease is renewed, or a run could
 // outlast the time until its caller submits the job again, and run beside its own copy.
 func (ldr *Leader) completeTakeover(now time.Time) {
-	if ldr.adoptionOpen(now) && !ldr.allClaimed() {
+	if ldr.adopting(now) && !ldr.allClaimed() {
 		return
 	}
 	ldr.takeoverComplete = true
@@ -102,10 +102,8 @@
 	}
 }
 
-// adoptionOpen reports whether owners may still send orders for what a former leader started.
-func (ldr *Leader) adoptionOpen(now time.Time) bool {
-	return now.Sub(ldr.takeoverAt) < ldr.cfg.TakeoverWait
-}
+// adopting reports whether owners may still send orders for what a former leader started.
+func (ldr *Leader) adopting(now time.Time) bool { return now.Sub(ldr.takeoverAt) < ldr.cfg.AdoptWait }
 
 // allClaimed reports whether every server has listed its runs and orders have come for all of them, so that the takeover need not wait
 // longer. After the loss of all instances, or a planned handover, nothing runs and the first tasks start 0.1 s sooner (TestAllLosePower
--- a/internal/request/shard/takeover_test.go
+++ b/internal/request/shard/takeover_test.go
@@ -135,7 +135,7 @@
 			chk := is.New(t)
 			har := fresh(t, cse.list)
 			cse.story(har)
-			har.advance(DefaultConfig().TakeoverWait)
+			har.advance(DefaultConfig().AdoptWait)
 			chk.Equal(har.reports(Started), cse.started)
 			chk.Equal(har.reports(NotRun), cse.returned)
 			chk.Equal(len(har.starts()), 0)
