--- a/internal/request/shard/action.go
+++ b/internal/request/shard/action.go
@@ -97,7 +97,7 @@
 	return Config{
 		Lease:             600 * time.Millisecond,
 		RenewWait:         200 * time.Millisecond,
-		AdoptWait:      120 * time.Millisecond,
+		AdoptWait:         120 * time.Millisecond,
 		StopRetryDelay:    20 * time.Millisecond,
 		StopTimeout:       100 * time.Millisecond,
 		OrphanExpiry:      850 * time.Millisecond,
--- a/internal/request/shard/queue.go
+++ b/internal/request/shard/queue.go
@@ -14,7 +14,7 @@
 	run *run
 	// sibs is the record of its step's run times, kept here because each placement round needs it.
 	sibs *siblings
-	srv      *server
+	srv  *server
 	// receivedAt is when the order came to this leader.
 	receivedAt time.Time
 	// notBefore is the earliest time to start the task; for a reassigned order, until when it may still run for another leader.
