--- a/internal/request/fault/doc.go
+++ b/internal/request/fault/doc.go
@@ -1,6 +1,6 @@
-// Package fault tells faulty backend servers from faulty jobs.
+// Package fault distinguishes faulty backend servers from faulty jobs.
 //
-// A backend server that fails everything at once looks idle and draws work; a job that can never
-// succeed makes good backend servers look faulty. Evidence against a server therefore counts
-// distinct jobs, and is weighed by how often the catalogue entry fails on other servers.
+// A backend server that fails each task at once looks idle and is given more tasks; a job that can never succeed makes sound
+// backend servers look faulty. Evidence against a backend server therefore counts distinct jobs, weighted by how often the
+// catalogue entry fails on other backend servers.
 package fault
--- a/internal/request/fault/fault.go
+++ b/internal/request/fault/fault.go
@@ -6,81 +6,88 @@
 )
 
 const (
-	// faultyRate is the share of its tasks that a faulty backend server fails.
+	// faultyRate is the share of its tasks that a faulty backend server is assumed to fail.
 	faultyRate = 0.95
-	// minRate and maxRate bound the failure rate of a catalogue entry.
+	// minRate and maxRate bound the learnt failure rate of a catalogue entry.
 	minRate = 0.05
 	maxRate = faultyRate
-	// startRate is assumed of a catalogue entry that was never seen to fail.
+	// startRate is the failure rate assumed of a catalogue entry without outcomes.
 	startRate = 0.05
-	// startWeight is how many outcomes the assumed rate counts for, and maxWeight how many at most
-	// count in the learnt one.
+	// startWeight is the number of outcomes that the assumed rate counts as. maxWeight bounds the number of outcomes that
+	// the learnt rate averages over.
 	startWeight = 4
 	maxWeight   = 20
 )
 
-// Config tunes a Detector.
+// Config has the thresholds and delays of a Detector.
 type Config struct {
-	// EjectThreshold is the logarithm of the odds at which a backend server is ejected.
+	// EjectThreshold is the natural logarithm of the odds for a fault at which a backend server is ejected.
 	EjectThreshold float64
-	// MaxEjectedShare bounds the share of the backend servers that are ejected at once, so that the rest
-	// do not drown.
+	// MaxEjectedShare bounds the share of the backend servers that are ejected or probed at once, so that the others are
+	// not overloaded.
 	MaxEjectedShare float64
-	// InitialProbeDelay is the first pause before an ejected backend server is tried again; it doubles.
+	// InitialProbeDelay is the delay from the first ejection of a backend server to its first probe; each further ejection
+	// doubles it, and a return to Trusted halves it.
 	InitialProbeDelay time.Duration
-	// MaxProbeDelay bounds the pause.
+	// MaxProbeDelay bounds the delay before a probe.
 	MaxProbeDelay time.Duration
-	// ProbeSuccesses is how many tasks in a row a probed backend server must not fail.
+	// ProbeSuccesses is the number of consecutive successful tasks after which a probed backend server is trusted again.
 	ProbeSuccesses int
 }
 
-// DefaultConfig returns what suits tasks of less than a second.
+// DefaultConfig returns a configuration for tasks that run for less than a second.
 func DefaultConfig() Config {
 	return Config{
-		EjectThreshold:      12,
-		MaxEjectedShare:      0.3,
-		InitialProbeDelay:    time.Second,
-		MaxProbeDelay: time.Minute,
-		ProbeSuccesses:      3,
+		EjectThreshold:    12,
+		MaxEjectedShare:   0.3,
+		InitialProbeDelay: time.Second,
+		MaxProbeDelay:     time.Minute,
+		ProbeSuccesses:    3,
 	}
 }
 
-// State is how far a backend server is trusted.
+// State tells whether a backend server gets tasks.
 type State int
 
 const (
-	// Trusted means that the backend server gets work.
+	// Trusted means that the backend server gets tasks.
 	Trusted State = iota
-	// Ejected means that it gets none.
+	// Ejected means that the backend server gets no tasks.
 	Ejected
-	// Probing means that it gets one task at a time.
+	// Probing means that the backend server gets one task at a time.
 	Probing
 )
 
-// Server is the evidence on one backend server; the zero value is trusted.
+// Server holds the state of one backend server and the evidence against it; the zero value is trusted.
 type Server struct {
-	state   State
-	score   float64
+	state State
+	// score is the natural logarithm of the odds that the backend server is faulty, at least 0.
+	score float64
+	// lastJob is the job of the last failure counted, empty after a success.
 	lastJob string
-	pause   time.Duration
-	until   time.Time
-	passed  int
+	// probeDelay is the delay from the last ejection to probeAt.
+	probeDelay time.Duration
+	probeAt    time.Time
+	// successes counts the consecutive successful tasks since the probe began.
+	successes int
 }
 
-// State returns how far the backend server is trusted.
+// State returns whether the backend server gets tasks.
 func (srv *Server) State() State { return srv.state }
 
-// ProbeAt returns when an ejected backend server is to be probed.
-func (srv *Server) ProbeAt() time.Time { return srv.until }
+// ProbeAt returns the time from which an ejected backend server may be probed.
+func (srv *Server) ProbeAt() time.Time { return srv.probeAt }
 
-// Class is the evidence on one catalogue entry; the zero value knows nothing.
+// Class holds the learnt failure rate of one catalogue entry; the zero value has no outcomes.
 type Class struct {
-	rate       float64
-	weight     float64
+	rate float64
+	// weight is the number of outcomes that rate averages over.
+	weight float64
+	// lastServer is the backend server of the last failure counted.
 	lastServer *Server
 }
 
-// Rate returns how often tasks of the catalogue entry fail on servers that are not at fault.
+// Rate returns the share of the catalogue entry's tasks that fail on backend servers without a fault.
 func (cls *Class) Rate() float64 {
 	if cls.weight == 0 {
 		return startRate
@@ -88,6 +95,7 @@
 	return min(max(cls.rate, minRate), maxRate)
 }
 
+// add updates the failure rate with the outcome of one task: 1 for a failure, 0 for a success.
 func (cls *Class) add(outcome float64) {
 	if cls.weight == 0 {
 		cls.rate, cls.weight = startRate, startWeight
@@ -96,24 +104,25 @@
 	cls.rate += (outcome - cls.rate) / cls.weight
 }
 
-// Detector weighs the evidence by a sequential test of two hypotheses: the server fails nearly
-// everything, or it fails what the catalogue entry fails anyway.
+// Detector decides which backend servers are faulty, by a sequential test of two hypotheses: the backend server fails nearly
+// every task, or it fails the share of tasks that the catalogue entry fails anywhere.
 type Detector struct {
-	cfg     Config
+	cfg Config
+	// total is the number of backend servers, ejected that of those ejected or probed.
 	total   int
 	ejected int
 }
 
-// New returns a Detector for no backend servers.
+// New returns a Detector, for no backend servers until SetServerCount is called.
 func New(cfg Config) *Detector { return &Detector{cfg: cfg} }
 
-// SetServerCount says how many backend servers there are.
+// SetServerCount sets the number of backend servers, of which MaxEjectedShare may be ejected.
 func (det *Detector) SetServerCount(num int) { det.total = num }
 
-// EjectedCount returns how many backend servers are ejected or probed.
+// EjectedCount returns the number of backend servers that are ejected or probed.
 func (det *Detector) EjectedCount() int { return det.ejected }
 
-// HandleSuccess takes in a task that did not fail, and reports whether the state changed.
+// HandleSuccess records a task that did not fail, and reports whether the backend server's state changed.
 func (det *Detector) HandleSuccess(srv *Server, cls *Class) bool {
 	rate := cls.Rate()
 	cls.add(0)
@@ -122,19 +131,19 @@
 	if srv.state != Probing {
 		return false
 	}
-	srv.passed++
-	if srv.passed < det.cfg.ProbeSuccesses {
+	srv.successes++
+	if srv.successes < det.cfg.ProbeSuccesses {
 		return false
 	}
-	*srv = Server{pause: srv.pause / 2}
+	*srv = Server{probeDelay: srv.probeDelay / 2}
 	det.ejected--
 	return true
 }
 
-// HandleFailure takes in a task that failed, and reports whether the state changed.
+// HandleFailure records a task that failed, and reports whether the backend server's state changed.
 //
-// The tasks of one job count once in a row against a server, since the job may be at fault; the
-// failures on one server count once in a row against the catalogue entry, since the server may be.
+// Consecutive failures of one job count once against a backend server, since the job may be at fault; consecutive failures on
+// one backend server count once against the catalogue entry, since the backend server may be at fault.
 func (det *Detector) HandleFailure(now time.Time, srv *Server, job string, cls *Class) bool {
 	rate := cls.Rate()
 	if cls.lastServer != srv {
@@ -158,17 +167,17 @@
 	return true
 }
 
-// StartProbe lets one task at a time through to an ejected backend server whose pause is over.
+// StartProbe changes an ejected backend server whose probe delay is over to Probing, and reports whether it did.
 func (det *Detector) StartProbe(now time.Time, srv *Server) bool {
-	if srv.state != Ejected || now.Before(srv.until) {
+	if srv.state != Ejected || now.Before(srv.probeAt) {
 		return false
 	}
 	srv.state = Probing
-	srv.passed = 0
+	srv.successes = 0
 	return true
 }
 
-// Remove takes a backend server out of the count: it left, or restarted with a clean slate.
+// Remove resets the evidence against a backend server that left or restarted, and no longer counts it as ejected.
 func (det *Detector) Remove(srv *Server) {
 	if srv.state != Trusted {
 		det.ejected--
@@ -176,14 +185,16 @@
 	*srv = Server{}
 }
 
+// mayEject reports whether one more backend server may be ejected within MaxEjectedShare.
 func (det *Detector) mayEject() bool {
 	return float64(det.ejected+1) <= det.cfg.MaxEjectedShare*float64(det.total)
 }
 
+// eject marks a backend server as ejected until its next probe, after twice its last probe delay.
 func (det *Detector) eject(now time.Time, srv *Server) {
-	srv.pause = min(max(2*srv.pause, det.cfg.InitialProbeDelay), det.cfg.MaxProbeDelay)
+	srv.probeDelay = min(max(2*srv.probeDelay, det.cfg.InitialProbeDelay), det.cfg.MaxProbeDelay)
 	srv.state = Ejected
-	srv.until = now.Add(srv.pause)
+	srv.probeAt = now.Add(srv.probeDelay)
 	srv.score = 0
 	srv.lastJob = ""
 }
--- a/internal/request/fault/fault_test.go
+++ b/internal/request/fault/fault_test.go
@@ -13,7 +13,7 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// outcomes feeds tasks of random jobs to servers and returns how many are ejected.
+// outcomes reports num tasks of distinct jobs on random servers to the detector, and returns the number of ejected servers.
 func outcomes(det *fault.Detector, servers []*fault.Server, cls *fault.Class, fails func(srv int) float64, num int) int {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	for idx := range num {
@@ -40,29 +40,29 @@
 	return det, servers
 }
 
+// A good server is ejected because a catalogue entry's tasks fail everywhere, or a faulty server is kept.
 func TestWhoIsAtFault(tst *testing.T) {
 	for name, tcs := range map[string]struct {
 		fails func(srv int) float64
 		want  int
 	}{
-		"nobody":                      {fails: func(int) float64 { return 0.02 }, want: 0},
-		"one server fails all":        {fails: func(srv int) float64 { return map[bool]float64{true: 1}[srv == 3] }, want: 1},
-		"the jobs fail on all":        {fails: func(int) float64 { return 1 }, want: 0},
-		"the jobs fail now and then":  {fails: func(int) float64 { return 0.3 }, want: 0},
-		"a server among failing jobs": {fails: func(srv int) float64 { return map[bool]float64{true: 1, false: 0.2}[srv == 3] }, want: 1},
+		"no server, a low failure rate":      {fails: func(int) float64 { return 0.02 }, want: 0},
+		"one server fails every task":        {fails: func(srv int) float64 { return map[bool]float64{true: 1}[srv == 3] }, want: 1},
+		"the jobs fail on every server":      {fails: func(int) float64 { return 1 }, want: 0},
+		"the jobs fail at times":             {fails: func(int) float64 { return 0.3 }, want: 0},
+		"a faulty server among failing jobs": {fails: func(srv int) float64 { return map[bool]float64{true: 1, false: 0.2}[srv == 3] }, want: 1},
 	} {
 		tst.Run(name, func(tst *testing.T) {
 			iss := is.New(tst)
 			det, servers := newServers(10)
-			// The failure rate of the entry is learnt before; a new entry is the test below.
+			// One Class for all tasks: the failure rate of the entry is learnt. TestEjectionHasAFloor uses new entries.
 			got := outcomes(det, servers, &fault.Class{}, tcs.fails, 3000)
 			iss.Equal(got, tcs.want)
 		})
 	}
 }
 
-// A job of hundreds of tasks that can never run fails them all on one server: it must not take a
-// good server out.
+// A job of hundreds of tasks, all of which fail on one server, ejects that server though the job is at fault.
 func TestOneJobIsNoEvidence(tst *testing.T) {
 	iss := is.New(tst)
 	det, servers := newServers(10)
@@ -72,17 +72,18 @@
 	iss.Equal(servers[0].State(), fault.Trusted)
 }
 
-// When every server seems faulty the rest would drown in the work of the ejected ones.
+// If every server seems faulty, all are ejected, and the last ones are overloaded with the work of the others.
 func TestEjectionHasAFloor(tst *testing.T) {
 	iss := is.New(tst)
 	det, servers := newServers(10)
 	for idx := range 1000 {
-		// Each failure in a catalogue entry of its own: the evidence is against the servers.
+		// Each failure is in its own catalogue entry, so that it counts against the server only.
 		det.HandleFailure(now, servers[idx%10], fmt.Sprint("job-", idx), &fault.Class{})
 	}
 	iss.Equal(det.EjectedCount(), 3)
 }
 
+// An ejected server is probed too early, its probe delay doesn't grow, or it stays ejected after successful probes.
 func TestProbeBack(tst *testing.T) {
 	iss := is.New(tst)
 	det, servers := newServers(10)
@@ -93,11 +94,11 @@
 		}
 	}
 	eject()
-	iss.Equal(det.StartProbe(now, srv), false) // the pause is not over
+	iss.Equal(det.StartProbe(now, srv), false) // the probe delay is not over
 	first := srv.ProbeAt().Sub(now)
 	iss.True(det.StartProbe(srv.ProbeAt(), srv))
 	iss.True(det.HandleFailure(now, srv, "probe", &fault.Class{}))
-	iss.Equal(srv.ProbeAt().Sub(now), 2*first) // the pause doubles
+	iss.Equal(srv.ProbeAt().Sub(now), 2*first) // the probe delay doubles
 	iss.True(det.StartProbe(srv.ProbeAt(), srv))
 	for range fault.DefaultConfig().ProbeSuccesses {
 		det.HandleSuccess(srv, &fault.Class{})
--- a/internal/request/job/class.go
+++ b/internal/request/job/class.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Needs is what one task takes of a worker.
+// Needs has the resources that one task takes of a worker.
 type Needs struct {
 	Processors   uint32
 	MemoryBytes  uint64
 	Accelerators uint32
 }
 
-// Limits govern a catalogue entry in the whole pool; 0 stands for no limit.
+// Limits bound the tasks of a catalogue entry in the whole pool; 0 stands for no limit.
 type Limits struct {
 	// Concurrency bounds the tasks that run at once.
 	Concurrency uint32
-	// Rate bounds the task starts a second.
+	// Rate bounds the task starts per second.
 	Rate float64
 	// Queue bounds the tasks that wait at once.
 	Queue uint32
@@ -21,33 +21,34 @@
 	TeamQuota map[string]uint32
 }
 
-// Objective is the service level that an entry promises.
+// Objective is the service level objective of a catalogue entry.
 type Objective struct {
+	// Target is the response time.
 	Target time.Duration
-	// Share of the requests that meet the target, between 0 and 1.
+	// Share is the part of the requests that is to meet the target, between 0 and 1.
 	Share float64
 }
 
-// Preference says what is spent first when the pool is short.
+// Preference tells whether response time or messages are saved when the pool has too little capacity.
 type Preference int
 
 const (
 	// PreferResponse spends messages to save response time.
 	PreferResponse Preference = iota
-	// PreferMessages waits a little to save messages.
+	// PreferMessages accepts short waits to save messages.
 	PreferMessages
 )
 
-// Class is what dispatch knows of a catalogue entry, as of one version of the catalogue.
+// Class is the part of a catalogue entry that dispatch uses, as of one version of the catalogue.
 type Class struct {
-	// Name is the catalogue entry, such as riga/thumbnail.
+	// Name is the name of the catalogue entry, such as riga/thumbnail.
 	Name    string
 	Owner   Partner
 	Class   string
 	Limits  Limits
 	Needs   Needs
 	RunTime time.Duration
-	// Repeatable is false for work that must run at most once.
+	// Repeatable is false for tasks that must run at most once.
 	Repeatable bool
 	Objective  Objective
 	Prefer     Preference
--- a/internal/request/job/doc.go
+++ b/internal/request/job/doc.go
@@ -1,5 +1,4 @@
-// Package job holds what lives as long as a submission: its tasks, how far each has come, and the
-// answer, which is whole or marked failed.
+// Package job holds the state of a submission: its tasks, the state of each, and the final answer, which is complete or an error.
 //
-// It is pure: no clock, socket or goroutine. The rules for what may be sent again are in Task.
+// It is pure: no clock, socket or goroutine. The rules for which task may be sent again are in Task.
 package job
--- a/internal/request/job/job.go
+++ b/internal/request/job/job.go
@@ -6,42 +6,45 @@
 	"chestnutstack/internal/request/verdict"
 )
 
-// Spec is what a caller asked for, after it was checked.
+// Spec is a caller's validated request.
 type Spec struct {
 	Submission SubmissionID
 	Class      *Class
 	Team       string
-	// NotAfter bounds the start of every task.
+	// NotAfter is the time after which no task may start.
 	NotAfter   time.Time
 	Repeatable bool
 	Tasks      []TaskSpec
-	// FirstAttempt is the number of the first attempt at each task; 0 stands for 1. A job that was
-	// taken over from a lost entry instance begins past the attempts that were fenced.
+	// FirstAttempt is the number of the first attempt at each task; 0 stands for 1. For a job that was taken over from a lost entry
+	// instance it is greater than the attempts that were fenced.
 	FirstAttempt uint32
-	// Admitted is when the entry instance took the job.
+	// Admitted is the time at which the entry instance accepted the job.
 	Admitted time.Time
 }
 
-// TaskSpec is one task of a Spec.
+// TaskSpec is the caller's request for one task.
 type TaskSpec struct {
 	Payload []byte
-	// Expected is the caller's guess of the run time; 0 if it made none.
+	// Expected is the run time that the caller declared; 0 if it declared none.
 	Expected time.Duration
 }
 
-// Job is a submission that an entry instance has taken.
+// Job is the state of a submission that an entry instance has accepted.
 type Job struct {
-	id       ID
-	spec     Spec
-	tasks    []Task
+	id    ID
+	spec  Spec
+	tasks []Task
+	// started counts the tasks that were sent and are not proved not to have run, finished those with an answer.
 	started  int
 	finished int
-	longest  time.Duration
-	ended    bool
-	err      *verdict.Error
+	// longest is the longest run time of a task so far.
+	longest time.Duration
+	// ended is set once the job has its final answer; err is then why the answer is incomplete, or nil.
+	ended bool
+	err   *verdict.Error
 }
 
-// New returns a job whose tasks all wait.
+// New returns a job whose tasks are all Waiting.
 func New(id ID, spec Spec) *Job {
 	jb := &Job{id: id, spec: spec, tasks: make([]Task, len(spec.Tasks))}
 	for idx := range jb.tasks {
@@ -54,16 +57,16 @@
 	return jb
 }
 
-// ID returns the id that callers use at any entry instance.
+// ID returns the id under which callers find the job at any entry instance.
 func (jb *Job) ID() ID { return jb.id }
 
-// Spec returns what the caller asked for; it must not be changed.
+// Spec returns the caller's request, which must not be modified.
 func (jb *Job) Spec() *Spec { return &jb.spec }
 
 // Tasks returns the number of tasks.
 func (jb *Job) Tasks() int { return len(jb.tasks) }
 
-// Task returns the task with that index, or nil if there is none.
+// Task returns the task with an index counted from 0, or nil if there is none.
 func (jb *Job) Task(index uint32) *Task {
 	if int(index) >= len(jb.tasks) {
 		return nil
@@ -71,26 +74,26 @@
 	return &jb.tasks[index]
 }
 
-// Started returns how many tasks were sent to a backend server at least once.
+// Started returns the number of tasks that were sent to a backend server and are not proved not to have run there.
 func (jb *Job) Started() int { return jb.started }
 
-// Finished returns how many tasks have an answer.
+// Finished returns the number of tasks with an answer.
 func (jb *Job) Finished() int { return jb.finished }
 
-// RecordRunTime records how long one of the tasks took by itself.
+// RecordRunTime records the run time of one of the tasks, without its waiting time.
 func (jb *Job) RecordRunTime(dur time.Duration) { jb.longest = max(jb.longest, dur) }
 
-// LongestRunTime returns the run time of the longest task so far, which is the least that the job can take.
+// LongestRunTime returns the longest run time of a task so far, which is a lower bound of the job's run time.
 func (jb *Job) LongestRunTime() time.Duration { return jb.longest }
 
 // Ended reports whether the job has its final answer.
 func (jb *Job) Ended() bool { return jb.ended }
 
-// Err returns why the job ended without a whole answer, or nil.
+// Err returns the reason why the job ended without a complete answer, or nil.
 func (jb *Job) Err() *verdict.Error { return jb.err }
 
-// End gives the job its final answer: whole if err is nil. A second end has no effect, so that a
-// result that arrives after a cancel cannot change what the caller was told.
+// End sets the job's final answer, complete if err is nil, and reports whether it was the first call. A later call has no effect, so
+// that a result that arrives after a cancellation can't change the answer that the caller got.
 func (jb *Job) End(err *verdict.Error) bool {
 	if jb.ended {
 		return false
@@ -100,16 +103,16 @@
 	return true
 }
 
-// ReasonCancelled ends a job that its caller called off.
+// ReasonCancelled is the reason of the error of a job that its caller cancelled.
 const ReasonCancelled = "cancelled"
 
-// Cancelled reports whether the caller called the job off.
+// Cancelled reports whether the caller cancelled the job.
 func (jb *Job) Cancelled() bool { return jb.err != nil && jb.err.Reason() == ReasonCancelled }
 
-// Complete reports whether every task ran and answered.
+// Complete reports whether every task has an answer.
 func (jb *Job) Complete() bool { return jb.finished == len(jb.tasks) }
 
-// NextAttempt returns a number past every attempt at any of the tasks.
+// NextAttempt returns an attempt number greater than that of every attempt at any of the tasks.
 func (jb *Job) NextAttempt() uint32 {
 	next := uint32(1)
 	for idx := range jb.tasks {
@@ -118,7 +121,7 @@
 	return next
 }
 
-// NothingRan reports whether no task was ever sent, so that not-run is proved.
+// NothingRan reports whether it is proved that no task has run: each was never sent, or each send is proved to have had no effect.
 func (jb *Job) NothingRan() bool {
 	for idx := range jb.tasks {
 		if !jb.tasks[idx].neverRan() {
@@ -128,8 +131,8 @@
 	return true
 }
 
-// FailureVerdict returns what may be said of a job that ends early: not-run only if every task is
-// proved not to have run, failed if a task is known to have run, else may-have-run.
+// FailureVerdict returns the verdict on a job that ends without a complete answer: not-run only if every task is proved not to have
+// run, failed if a task is known to have run, else may-have-run.
 func (jb *Job) FailureVerdict() verdict.Verdict {
 	if jb.NothingRan() {
 		return verdict.NotRun
--- a/internal/request/job/job_test.go
+++ b/internal/request/job/job_test.go
@@ -12,15 +12,15 @@
 
 var now = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
+// newJob returns a job of that many tasks, all Waiting.
 func newJob(tasks int) *job.Job {
 	return job.New(job.NewPartnerID("entry-1~a", "riga", "1"), job.Spec{
 		Submission: "riga/deck-1", Tasks: make([]job.TaskSpec, tasks),
 	})
 }
 
-// An export was sent to a backend server, revoked there and sent to another. The answer of the first
-// attempt must not be taken for that of the second, nor an answer of another submission or of a task
-// that was never sent.
+// A task was sent to a backend server, revoked there and sent to another. The answer to the first attempt, to another submission, or
+// to a task that was never sent is taken for the answer to the second attempt.
 func TestOnlyTheCurrentAttemptCounts(t *testing.T) {
 	tests := map[string]struct {
 		id   job.TaskID
@@ -45,18 +45,18 @@
 	}
 }
 
-// A start whose answer is missing may have had its effect: only proof lets a task be sent again.
+// A task is sent again without proof that its last start had no effect, and so runs twice.
 func TestOnlyProofLeadsBackToWaiting(t *testing.T) {
 	tests := map[string]struct {
 		steps []func(*job.Task) bool
 		sent  bool
 	}{
-		"sent":              {nil, false},
-		"asked":             {[]func(*job.Task) bool{(*job.Task).MarkQuerying}, false},
-		"asked and revoked": {[]func(*job.Task) bool{(*job.Task).MarkQuerying, (*job.Task).MarkRevoking}, false},
-		"running there":     {[]func(*job.Task) bool{(*job.Task).MarkQuerying, (*job.Task).MarkRunning}, false},
-		"lost":              {[]func(*job.Task) bool{(*job.Task).MarkLost}, false},
-		"proved":            {[]func(*job.Task) bool{(*job.Task).MarkQuerying, (*job.Task).MarkRevoking, (*job.Task).MarkNotRun}, true},
+		"sent":                {nil, false},
+		"queried":             {[]func(*job.Task) bool{(*job.Task).MarkQuerying}, false},
+		"queried and revoked": {[]func(*job.Task) bool{(*job.Task).MarkQuerying, (*job.Task).MarkRevoking}, false},
+		"running there":       {[]func(*job.Task) bool{(*job.Task).MarkQuerying, (*job.Task).MarkRunning}, false},
+		"lost":                {[]func(*job.Task) bool{(*job.Task).MarkLost}, false},
+		"proved not run":      {[]func(*job.Task) bool{(*job.Task).MarkQuerying, (*job.Task).MarkRevoking, (*job.Task).MarkNotRun}, true},
 	}
 	for name, tst := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -71,6 +71,7 @@
 	}
 }
 
+// A job that ends early is reported as not run though one of its tasks may have run.
 func TestFailureVerdict(t *testing.T) {
 	tests := map[string]struct {
 		steps func(jb *job.Job)
@@ -78,7 +79,7 @@
 	}{
 		"nothing sent": {func(*job.Job) {}, verdict.NotRun},
 		"dropped":      {func(jb *job.Job) { jb.Task(0).MarkDropped() }, verdict.NotRun},
-		"proved": {func(jb *job.Job) {
+		"proved not run": {func(jb *job.Job) {
 			jb.Task(0).MarkSent(now, "b1")
 			jb.Task(0).MarkNotRun()
 		}, verdict.NotRun},
@@ -103,7 +104,7 @@
 	}
 }
 
-// A job that was taken over has an answer already; the others are numbered past the fence.
+// A job that was taken over loses an answer that it already has, or reuses numbers of attempts that were fenced.
 func TestTakenOverJob(t *testing.T) {
 	is := is.New(t)
 	jb := job.New(job.NewID("entry-2~a", "1"), job.Spec{
@@ -118,12 +119,13 @@
 	is.Equal(jb.NextAttempt(), uint32(101))
 }
 
+// An id without instance or name is accepted, or a valid one is changed by parsing.
 func TestParseID(t *testing.T) {
 	tests := map[string]struct {
 		txt  string
 		good bool
 	}{
-		"whole":       {"entry-1~a/riga.1", true},
+		"complete":    {"entry-1~a/riga.1", true},
 		"no name":     {"entry-1~a/", false},
 		"no instance": {"/riga.1", false},
 		"neither":     {"riga.1", false},
--- a/internal/request/order/doc.go
+++ b/internal/request/order/doc.go
@@ -1,5 +1,5 @@
-// Package order decides which job's task is next: fair between partners by slot time, and within a
-// partner the shortest remaining job first, with ageing so that no job waits for ever.
+// Package order chooses the job whose task starts next: fair queueing of slot time between partners, and within a partner
+// shortest remaining job first, with ageing so that no job waits without bound.
 //
-// It also learns how long the tasks of a catalogue entry really take.
+// It also estimates the run time of the tasks of a catalogue entry.
 package order
--- a/internal/request/order/heap.go
+++ b/internal/request/order/heap.go
@@ -1,66 +1,72 @@
 package order
 
-func (lan *lane[T]) before(one, two int) bool {
-	fst, snd := lan.heap[one], lan.heap[two]
+// before reports whether the item at position one goes before the item at position two: by key, then by the order in which they were first put in.
+func (pqu *partnerQueue[T]) before(one, two int) bool {
+	fst, snd := pqu.heap[one], pqu.heap[two]
 	if fst.key != snd.key {
 		return fst.key < snd.key
 	}
 	return fst.seq < snd.seq
 }
 
-func (lan *lane[T]) push(itm *Item[T]) {
-	itm.pos = len(lan.heap)
-	lan.heap = append(lan.heap, itm)
-	lan.up(itm.pos)
+// push adds an item to the heap.
+func (pqu *partnerQueue[T]) push(itm *Item[T]) {
+	itm.pos = len(pqu.heap)
+	pqu.heap = append(pqu.heap, itm)
+	pqu.up(itm.pos)
 }
 
-func (lan *lane[T]) remove(pos int) {
-	last := len(lan.heap) - 1
-	itm := lan.heap[pos]
-	lan.swap(pos, last)
-	lan.heap[last] = nil
-	lan.heap = lan.heap[:last]
+// remove takes the item at a position out of the heap.
+func (pqu *partnerQueue[T]) remove(pos int) {
+	last := len(pqu.heap) - 1
+	itm := pqu.heap[pos]
+	pqu.swap(pos, last)
+	pqu.heap[last] = nil
+	pqu.heap = pqu.heap[:last]
 	itm.pos = 0
 	if pos < last {
-		lan.fix(pos)
+		pqu.fix(pos)
 	}
 }
 
-func (lan *lane[T]) fix(pos int) {
-	if !lan.up(pos) {
-		lan.down(pos)
+// fix restores the heap order after the key of the item at a position has changed.
+func (pqu *partnerQueue[T]) fix(pos int) {
+	if !pqu.up(pos) {
+		pqu.down(pos)
 	}
 }
 
-func (lan *lane[T]) up(pos int) bool {
+// up moves an item towards the root as far as the heap order asks for, and reports whether it moved.
+func (pqu *partnerQueue[T]) up(pos int) bool {
 	moved := false
-	for pos > 1 && lan.before(pos, pos/2) {
-		lan.swap(pos, pos/2)
+	for pos > 1 && pqu.before(pos, pos/2) {
+		pqu.swap(pos, pos/2)
 		pos /= 2
 		moved = true
 	}
 	return moved
 }
 
-func (lan *lane[T]) down(pos int) {
+// down moves an item away from the root as far as the heap order asks for.
+func (pqu *partnerQueue[T]) down(pos int) {
 	for {
-		kid := 2 * pos
-		if kid >= len(lan.heap) {
+		child := 2 * pos
+		if child >= len(pqu.heap) {
 			return
 		}
-		if kid+1 < len(lan.heap) && lan.before(kid+1, kid) {
-			kid++
+		if child+1 < len(pqu.heap) && pqu.before(child+1, child) {
+			child++
 		}
-		if !lan.before(kid, pos) {
+		if !pqu.before(child, pos) {
 			return
 		}
-		lan.swap(pos, kid)
-		pos = kid
+		pqu.swap(pos, child)
+		pos = child
 	}
 }
 
-func (lan *lane[T]) swap(one, two int) {
-	lan.heap[one], lan.heap[two] = lan.heap[two], lan.heap[one]
-	lan.heap[one].pos = one
-	lan.heap[two].pos = two
+func (pqu *partnerQueue[T]) swap(one, two int) {
+	pqu.heap[one], pqu.heap[two] = pqu.heap[two], pqu.heap[one]
+	pqu.heap[one].pos = one
+	pqu.heap[two].pos = two
 }
--- a/internal/request/order/order_test.go
+++ b/internal/request/order/order_test.go
@@ -14,12 +14,14 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// put adds a job that arrived at a time after start.
 func put(que *order.Queue[string], name, partner string, after, remaining time.Duration) *order.Item[string] {
 	itm := &order.Item[string]{Value: name}
 	que.Put(itm, partner, start.Add(after), remaining)
 	return itm
 }
 
+// drain empties the queue and returns the names of its jobs in order.
 func drain(que *order.Queue[string]) string {
 	names := ""
 	for itm := que.Next(); itm != nil; itm = que.Next() {
@@ -29,6 +31,7 @@
 	return names
 }
 
+// A long job starves behind shorter ones that arrive later, unless ageing outweighs their remaining work.
 func TestShortestFirstWithAgeing(tst *testing.T) {
 	for name, tcs := range map[string]struct {
 		ageing float64
@@ -49,7 +52,7 @@
 	}
 }
 
-// One partner's burst must not starve the other: each gets slots in turn by the slot time it used.
+// One partner's burst starves the other, unless the partner with less slot time is served next.
 func TestPartnersShareSlotTime(tst *testing.T) {
 	iss := is.New(tst)
 	que := order.NewQueue[string](1)
@@ -68,10 +71,10 @@
 	dif := given["one"] - given["two"]
 	iss.True(dif.Abs() <= 300*time.Millisecond)
 	que.Remove(quiet)
-	iss.Equal(que.Next(), burst) // alone it gets everything
+	iss.Equal(que.Next(), burst) // the only partner with jobs
 }
 
-// What a partner used while nobody else had work is no debt once both have some.
+// A partner's slot time from a period when no other had work delays its next job behind the other's large one.
 func TestIdleTimeIsNoCredit(tst *testing.T) {
 	iss := is.New(tst)
 	que := order.NewQueue[string](1)
@@ -84,8 +87,8 @@
 	iss.Equal(que.Next().Value, "small")
 }
 
-// Declarations that are wrong by a factor must not govern for long, stragglers must not look like
-// a change, and a real change must be noticed.
+// A declaration that is wrong by a factor is used for too long, stragglers are taken for a change of the workload, or a real change
+// goes unnoticed.
 func TestRunTimeLearns(tst *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	around := func(dur time.Duration) time.Duration {
@@ -112,9 +115,10 @@
 		real := time.Duration(1+idx%20) * 50 * time.Millisecond
 		scaled.Observe(around(real), 3*real)
 	}
-	iss.True(near(scaled.Estimate(3*time.Second, 0), time.Second, 0.3)) // off by a factor that stays
+	iss.True(near(scaled.Estimate(3*time.Second, 0), time.Second, 0.3)) // declarations off by a constant factor
 }
 
+// near reports whether got differs from want by less than that share of want.
 func near(got, want time.Duration, share float64) bool {
 	return math.Abs(float64(got-want)) < share*float64(want)
 }
--- a/internal/request/order/queue.go
+++ b/internal/request/order/queue.go
@@ -2,62 +2,68 @@
 
 import "time"
 
-// Item is a job in a Queue.
+// Item is a job that can be put into a Queue; the zero value is in none.
 type Item[T any] struct {
-	// Value is what the caller put in.
+	// Value is the caller's data.
 	Value T
-	lane  *lane[T]
+	// queue is the heap that the item is or was in, key its position in the order, lower first.
+	queue *partnerQueue[T]
 	key   float64
-	seq   uint64
-	pos   int
+	// seq is the number of the item's first Put, which orders items of equal keys.
+	seq uint64
+	// pos is the index in the heap, 0 while the item is in no queue.
+	pos int
 }
 
 // Queued reports whether the item is in the queue now.
 func (itm *Item[T]) Queued() bool { return itm.pos > 0 }
 
-// lane holds the jobs of one partner in a heap; heap[0] is not used so that a zero Item is out.
-type lane[T any] struct {
+// partnerQueue holds the jobs of one partner in a binary heap; heap[0] is not used, so that pos 0 means "not queued".
+type partnerQueue[T any] struct {
 	partner string
 	heap    []*Item[T]
-	// used is the slot time given to the partner, in seconds, as fair queueing counts it.
-	used float64
+	// usedSeconds is the slot time charged to the partner in this busy period, raised by skipIdleTime.
+	usedSeconds float64
 }
 
-// Queue holds the jobs that have waiting tasks.
+// Queue holds the jobs that have waiting tasks, in one heap per partner.
 type Queue[T any] struct {
-	lanes []*lane[T]
-	// ageing is how many seconds of remaining work one second of waiting outweighs.
+	partners []*partnerQueue[T]
+	// ageing is the number of seconds of remaining work that one second of waiting outweighs.
 	ageing float64
-	start  time.Time
-	seq    uint64
-	len    int
-	// busy counts the busy periods: times at which some job waits.
+	// start is the arrival time of the first job put in, from which keys count time.
+	start time.Time
+	// seq is the number of first Puts so far.
+	seq uint64
+	// len is the number of jobs in the queue.
+	len int
+	// busy counts the busy periods; one begins when a job is put into the empty queue.
 	busy uint64
 }
 
-// NewQueue returns an empty Queue. With ageing 0 the shortest job always goes first; the larger
-// it is, the nearer the order comes to first in, first out.
+// NewQueue returns an empty Queue. With ageing 0 the shortest job always goes first; the larger ageing is, the closer the order
+// is to first in, first out.
 func NewQueue[T any](ageing float64) *Queue[T] { return &Queue[T]{ageing: ageing} }
 
 // Len returns the number of jobs in the queue.
 func (que *Queue[T]) Len() int { return que.len }
 
-// Put adds an item, or moves it if its remaining work has changed.
+// Put adds an item to its partner's heap, or moves it if its remaining work has changed.
 //
-// The key is the remaining work plus the weighted arrival time. As all jobs age at the same speed
-// the order of two waiting jobs does not depend on the present, so that a heap can hold it, and a
-// job is overtaken only by jobs that arrive within remaining/ageing after it.
+// The key is the remaining work in seconds plus ageing times the arrival time. As all jobs age at the same rate, the order of two
+// waiting jobs does not depend on the current time, so a heap can hold it; a job is overtaken only by jobs that arrive within
+// remaining/ageing after it.
 func (que *Queue[T]) Put(itm *Item[T], partner string, arrived time.Time, remaining time.Duration) {
 	if que.start.IsZero() {
 		que.start = arrived
 	}
 	itm.key = remaining.Seconds() + que.ageing*arrived.Sub(que.start).Seconds()
 	if itm.Queued() {
-		itm.lane.fix(itm.pos)
+		itm.queue.fix(itm.pos)
 		return
 	}
-	// The item may come from another queue, whose lane of the partner it still points to.
-	itm.lane = que.laneOf(partner)
+	// The item may have been in another Queue before, and still point to a heap of that one.
+	itm.queue = que.partnerQueueOf(partner)
 	if itm.seq == 0 {
 		que.seq++
 		itm.seq = que.seq
@@ -65,27 +71,27 @@
 	if que.len == 0 {
 		que.startBusy()
 	}
-	if len(itm.lane.heap) == 1 {
-		que.catchUp(itm.lane)
+	if len(itm.queue.heap) == 1 {
+		que.skipIdleTime(itm.queue)
 	}
-	itm.lane.push(itm)
+	itm.queue.push(itm)
 	que.len++
 }
 
-// Remove takes an item out, if it is in.
+// Remove takes an item out of the queue, if it is queued.
 func (que *Queue[T]) Remove(itm *Item[T]) {
 	if itm.Queued() {
-		itm.lane.remove(itm.pos)
+		itm.queue.remove(itm.pos)
 		que.len--
 	}
 }
 
-// Next returns the first job of the partner that has had the least slot time, or nil.
+// Next returns the first job of the partner with the least slot time among those with jobs, or nil if the queue is empty.
 func (que *Queue[T]) Next() *Item[T] {
-	var best *lane[T]
-	for _, lan := range que.lanes {
-		if len(lan.heap) > 1 && (best == nil || lan.used < best.used) {
-			best = lan
+	var best *partnerQueue[T]
+	for _, pqu := range que.partners {
+		if len(pqu.heap) > 1 && (best == nil || pqu.usedSeconds < best.usedSeconds) {
+			best = pqu
 		}
 	}
 	if best == nil {
@@ -94,58 +100,59 @@
 	return best.heap[1]
 }
 
-// BusyPeriod returns the number of the present busy period.
+// BusyPeriod returns the number of the current busy period, which Charge expects.
 func (que *Queue[T]) BusyPeriod() uint64 { return que.busy }
 
-// Charge counts slot time to a partner; a negative time corrects an estimate that was too high.
-// What belongs to an earlier busy period does not count any more.
+// Charge adds slot time to a partner's account; a negative time corrects an estimate that was too high. A charge for an earlier
+// busy period is ignored.
 func (que *Queue[T]) Charge(partner string, slotTime time.Duration, busy uint64) {
 	if busy == que.busy {
-		que.laneOf(partner).used += slotTime.Seconds()
+		que.partnerQueueOf(partner).usedSeconds += slotTime.Seconds()
 	}
 }
 
-// startBusy begins a busy period with a clean slate: slots that one partner used while the other
-// had nothing to run are no debt. Without that a single short job waits until the other partner's
-// large one has drawn level.
+// startBusy begins a busy period and resets all accounts: slots that a partner used while the other had nothing to run don't count
+// against it. Otherwise its next short job waits until a large job of the other partner has used as much slot time.
 func (que *Queue[T]) startBusy() {
 	que.busy++
-	for _, lan := range que.lanes {
-		lan.used = 0
+	for _, pqu := range que.partners {
+		pqu.usedSeconds = 0
 	}
 }
 
-// ActivePartners returns how many partners have jobs in the queue.
+// ActivePartners returns the number of partners with jobs in the queue.
 func (que *Queue[T]) ActivePartners() int {
 	num := 0
-	for _, lan := range que.lanes {
-		if len(lan.heap) > 1 {
+	for _, pqu := range que.partners {
+		if len(pqu.heap) > 1 {
 			num++
 		}
 	}
 	return num
 }
 
-// catchUp keeps a partner that was away from claiming the slot time that it did not ask for.
-func (que *Queue[T]) catchUp(lan *lane[T]) {
-	least, some := 0.0, false
-	for _, oth := range que.lanes {
-		if oth != lan && len(oth.heap) > 1 && (!some || oth.used < least) {
-			least, some = oth.used, true
+// skipIdleTime raises the account of a partner that had no queued jobs to the least of the others' accounts, so that it can't claim
+// the slot time that it didn't ask for.
+func (que *Queue[T]) skipIdleTime(pqu *partnerQueue[T]) {
+	least, found := 0.0, false
+	for _, oth := range que.partners {
+		if oth != pqu && len(oth.heap) > 1 && (!found || oth.usedSeconds < least) {
+			least, found = oth.usedSeconds, true
 		}
 	}
-	if some {
-		lan.used = max(lan.used, least)
+	if found {
+		pqu.usedSeconds = max(pqu.usedSeconds, least)
 	}
 }
 
-func (que *Queue[T]) laneOf(partner string) *lane[T] {
-	for _, lan := range que.lanes {
-		if lan.partner == partner {
-			return lan
+// partnerQueueOf returns the heap of a partner, and creates it if there is none yet.
+func (que *Queue[T]) partnerQueueOf(partner string) *partnerQueue[T] {
+	for _, pqu := range que.partners {
+		if pqu.partner == partner {
+			return pqu
 		}
 	}
-	lan := &lane[T]{partner: partner, heap: make([]*Item[T], 1)}
-	que.lanes = append(que.lanes, lan)
-	return lan
+	pqu := &partnerQueue[T]{partner: partner, heap: make([]*Item[T], 1)}
+	que.partners = append(que.partners, pqu)
+	return pqu
 }
--- a/internal/request/roundtrip/roundtrip_test.go
+++ b/internal/request/roundtrip/roundtrip_test.go
@@ -7,19 +7,19 @@
 	"github.com/matryer/is"
 )
 
+// A link fills, and answers that took 2 ms take 150 ms. With a constant timeout of 100 ms each order is retried, the servers get two
+// orders for one, and the link stays full.
 func TestPatience(t *testing.T) {
-	// A link fills, and answers that took 2 ms take 150. Asked again after 100 ms each time, the servers would get two
-	// orders for one, and the link would never empty.
 	const least, most = 100 * time.Millisecond, 300 * time.Millisecond
 	cases := map[string]struct {
 		took     []time.Duration
 		from, to time.Duration
 	}{
-		"nothing known":    {from: least, to: least},
-		"sound":            {took: []time.Duration{2, 3, 2, 2}, from: least, to: least},
-		"slow all along":   {took: []time.Duration{90, 95, 90, 95, 90, 92, 91, 90}, from: 101 * time.Millisecond, to: most},
-		"becomes slow":     {took: []time.Duration{2, 2, 2, 100, 150, 150}, from: 200 * time.Millisecond, to: most},
-		"slow without end": {took: []time.Duration{500, 500, 500}, from: most, to: most},
+		"no sample":             {from: least, to: least},
+		"fast":                  {took: []time.Duration{2, 3, 2, 2}, from: least, to: least},
+		"always slow":           {took: []time.Duration{90, 95, 90, 95, 90, 92, 91, 90}, from: 101 * time.Millisecond, to: most},
+		"becomes slow":          {took: []time.Duration{2, 2, 2, 100, 150, 150}, from: 200 * time.Millisecond, to: most},
+		"slower than the bound": {took: []time.Duration{500, 500, 500}, from: most, to: most},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/request/verdict/doc.go
+++ b/internal/request/verdict/doc.go
@@ -1,2 +1,2 @@
-// Package verdict says what is known of work that did not end well: may it have run?
+// Package verdict tells whether work that did not end well may have run.
 package verdict
