--- a/internal/request/submission/admit_test.go
+++ b/internal/request/submission/admit_test.go
@@ -10,42 +10,43 @@
 	"chestnutstack/internal/request/shard"
 )
 
-// routeTimeout is the route's in these tests. A job of 100 ms has an objective of 200 ms and is of use for 600; newCallerTimeout is how long its
-// caller waits that has not sent it before.
+// routeTimeout is the route's timeout in these tests. A job of 100 ms has an objective of 200 ms and is useful for 600 ms;
+// newCallerTimeout is how long a caller waits that submits its job for the first time.
 const (
 	routeTimeout     = time.Second
 	newCallerTimeout = routeTimeout + 600*time.Millisecond
 )
 
-func (hrn *harness) submitWithTimeout(cal CallID, id string, patience time.Duration) {
+// submitWithTimeout submits a job of one task that is expected to run for 100 ms, and whose caller waits for a time.
+func (hrn *harness) submitWithTimeout(cal CallID, id string, callerTimeout time.Duration) {
 	hrn.record(hrn.crd.HandleSubmit(hrn.now, cal, Submission{
-		ID: id, Route: "r", Service: "render", MaxAttempts: 3, CallerTimeout: patience, RouteTimeout: routeTimeout,
+		ID: id, Route: "r", Service: "render", MaxAttempts: 3, CallerTimeout: callerTimeout, RouteTimeout: routeTimeout,
 		Steps:     []Step{{Count: 1, Processor: 14000, ExpectedRunTime: 100 * time.Millisecond}},
 		Objective: func(work time.Duration) time.Duration { return 2 * work },
 	}))
 }
 
-// setWaits tells how long work setWaits in the one shard: what is in time, what is late, and what is of no use.
+// setWaits reports the load of a shard without free capacity: the waits of tasks that will be in time, late, and useless.
 func (hrn *harness) setWaits(inTime, late, overdue time.Duration) {
 	lod := shard.Load{Number: 9, Turnover: 1_000_000, LinkWindow: 1 << 20}
 	lod.Waits[0], lod.Waits[1], lod.Waits[shard.Ranks-1] = inTime, late, overdue
 	hrn.record(hrn.crd.HandleLoad("a.0", lod))
 }
 
+// Four times as many jobs arrive as can be done. If all are admitted, most are late and a third wait until their deadline in vain: a job
+// that can't be done while useful must be refused at once, but none while a server has free capacity.
 func TestAdmission(t *testing.T) {
-	// Four times as many jobs come as can be done. Admitted all, most would be late and a third would wait until their
-	// deadline in vain. A job is refused at once if it can't be done while it is of use, and never while there is room.
 	const long = time.Minute
 	cases := map[string]struct {
 		inTime, late, overdue time.Duration
 		room                  int
 		want                  string
 	}{
-		"in time":                          {inTime: 50 * time.Millisecond, late: long, overdue: long, want: "place j.0.0.0 at self/1"},
-		"late and of use":                  {inTime: 150 * time.Millisecond, late: 400 * time.Millisecond, overdue: long, want: "place j.0.0.0 at self/1"},
-		"too late to be of use, in a lull": {inTime: 150 * time.Millisecond, late: 600 * time.Millisecond, overdue: time.Second, want: "place j.0.0.0 at self/1"},
-		"never":                            {inTime: 150 * time.Millisecond, late: 600 * time.Millisecond, overdue: long, want: "reply 1 not-run"},
-		"never, but there is room":         {inTime: long, late: long, overdue: long, room: 1, want: "place j.0.0.0 at self/1 bounce"},
+		"in time":         {inTime: 50 * time.Millisecond, late: long, overdue: long, want: "order j.0.0.0 at self/1"},
+		"late and useful": {inTime: 150 * time.Millisecond, late: 400 * time.Millisecond, overdue: long, want: "order j.0.0.0 at self/1"},
+		"too late to be useful, before the caller gives up": {inTime: 150 * time.Millisecond, late: 600 * time.Millisecond, overdue: time.Second, want: "order j.0.0.0 at self/1"},
+		"never":                             {inTime: 150 * time.Millisecond, late: 600 * time.Millisecond, overdue: long, want: "reply 1 not-run"},
+		"never, but there is free capacity": {inTime: long, late: long, overdue: long, room: 1, want: "order j.0.0.0 at self/1 return-if-busy"},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -63,9 +64,8 @@
 	}
 }
 
+// All callers refused in a burst retry in the same second. Each must get its own time, when the waiting work is done at the earliest.
 func TestRefusedRetryTimesAreSpread(t *testing.T) {
-	// All that were refused in a burst would come back in the same second. Each is told a time of its own, when the work
-	// that waits is done at the earliest.
 	chk := is.New(t)
 	hrn := newHarness()
 	hrn.setLeader("a.0", true, self, 1, 0)
@@ -83,22 +83,23 @@
 	chk.True(most-least > 2*time.Second)
 }
 
+// All instances lose power. The jobs that were cut off are submitted again, unmarked, together with as many new ones, and are admitted in
+// their place though their callers have little time left.
 func TestResubmittedJob(t *testing.T) {
-	// All instances lose their power. The jobs that were cut off come again, unmarked, beside as many new ones, and take their
-	// room. Their callers have waited before, and have less time left than the route's timeout. Where all callers have,
-	// it tells nothing.
 	cases := map[string]struct {
-		patience time.Duration
-		before   int
-		// late says that the answer is due already, useful for how long it is of use.
+		callerTimeout time.Duration
+		before        int
+		// late is set if the answer is due already; useful is how long the answer is useful.
 		late   bool
 		useful time.Duration
 	}{
-		"new":                        {patience: newCallerTimeout, useful: 600 * time.Millisecond},
-		"new, of longer work":        {patience: newCallerTimeout + time.Second, useful: 1600 * time.Millisecond},
-		"again, of use still":        {patience: routeTimeout + 200*time.Millisecond, late: true, useful: 200 * time.Millisecond},
-		"again, of no use":           {patience: 700 * time.Millisecond, late: true},
-		"all callers have so little": {patience: 700 * time.Millisecond, before: 60, useful: 600 * time.Millisecond},
+		"new":                 {callerTimeout: newCallerTimeout, useful: 600 * time.Millisecond},
+		"new, of longer work": {callerTimeout: newCallerTimeout + time.Second, useful: 1600 * time.Millisecond},
+		// The callers of repeated jobs have waited before, and have less time left than a new caller.
+		"repeated, still useful": {callerTimeout: routeTimeout + 200*time.Millisecond, late: true, useful: 200 * time.Millisecond},
+		"repeated, useless":      {callerTimeout: 700 * time.Millisecond, late: true},
+		// Where all callers have less than the route's timeout, the time left tells nothing.
+		"all callers have as little time": {callerTimeout: 700 * time.Millisecond, before: 60, useful: 600 * time.Millisecond},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -106,9 +107,9 @@
 			hrn := newHarness()
 			hrn.setLeader("a.0", true, self, 1, 100)
 			for num := range cse.before {
-				hrn.submitWithTimeout(CallID(100+num), fmt.Sprint("k", num), cse.patience)
+				hrn.submitWithTimeout(CallID(100+num), fmt.Sprint("k", num), cse.callerTimeout)
 			}
-			hrn.submitWithTimeout(1, "j", cse.patience)
+			hrn.submitWithTimeout(1, "j", cse.callerTimeout)
 			plc, ok := hrn.acts[len(hrn.acts)-1].(SendOrder)
 			chk.True(ok)
 			chk.Equal(plc.Order.Aim.Equal(hrn.now), cse.late)
@@ -117,16 +118,16 @@
 	}
 }
 
+// A job waits with its leader until it can't be done before its deadline, and its caller waits on for an indefinite answer. It must be
+// recalled and answered with NotRun, unless it has started meanwhile.
 func TestJobPastDeadlineIsRecalled(t *testing.T) {
-	// A job waits with its leader until it could not be done before its deadline. It is called back, and its caller hears that
-	// it has not run, in place of waiting on for an answer that says nothing. One that starts meanwhile goes on.
 	const task = "j.0.0.0"
 	cases := map[string]struct {
 		outcome shard.Outcome
 		want    []string
 	}{
-		"it still waited": {outcome: shard.NotRun, want: []string{"place j.0.0.0 at self/1 recall", "reply 1 not-run"}},
-		"it has started":  {outcome: shard.Begun, want: []string{"place j.0.0.0 at self/1 recall"}},
+		"it still waits": {outcome: shard.NotRun, want: []string{"order j.0.0.0 at self/1 recall", "reply 1 not-run"}},
+		"it has started": {outcome: shard.Begun, want: []string{"order j.0.0.0 at self/1 recall"}},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -151,20 +152,19 @@
 	}
 }
 
-// TestNoServerResponds guards against callers that are told to come back in hours: while no server of any shard answers, nothing is known of
-// how long their jobs would wait.
+// Callers are told to retry in hours: while no server of any shard answers, nothing is known of how long their jobs would wait.
 func TestNoServerResponds(t *testing.T) {
 	silent := shard.Load{Number: 9, LinkWindow: 1 << 20}
 	for rnk := range silent.Waits {
-		silent.Waits[rnk] = 2 * time.Hour // What its leader makes of a queue that does not go.
+		silent.Waits[rnk] = 2 * time.Hour // What a leader estimates for a queue from which nothing starts.
 	}
 	cases := map[string]struct {
-		// after is for how long it has been so.
+		// after is how long no server has answered.
 		after time.Duration
 		want  []string
 	}{
-		"since a moment ago": {after: 100 * time.Millisecond, want: []string{"place j.0.0.0 at self/1"}},
-		"for a second":       {after: time.Second, want: []string{"place j.0.0.0 at self/1"}},
+		"since a moment ago": {after: 100 * time.Millisecond, want: []string{"order j.0.0.0 at self/1"}},
+		"for a second":       {after: time.Second, want: []string{"order j.0.0.0 at self/1"}},
 		"for two seconds":    {after: 2 * time.Second, want: []string{"reply 1 not-run"}},
 	}
 	for name, cse := range cases {
--- a/internal/request/submission/coordinator_test.go
+++ b/internal/request/submission/coordinator_test.go
@@ -10,7 +10,7 @@
 	"chestnutstack/internal/request/shard"
 )
 
-// harness drives a Desk by hand and notes what it does.
+// harness passes events to a Coordinator and collects its actions.
 type harness struct {
 	crd  *Coordinator
 	now  time.Time
@@ -20,12 +20,13 @@
 const (
 	self  = shard.InstanceID("self/1")
 	other = shard.InstanceID("other/2")
-	// sameDomain and elsewhere are the failure domains of near and far shards.
+	// sameDomain is the failure domain of the tested instance, otherDomain another one.
 	sameDomain   = "domain-1"
 	otherDomain  = "domain-2"
 	orphanExpiry = 1250 * time.Millisecond
 )
 
+// newHarness returns a harness with a Coordinator without shards, and with a link without limit.
 func newHarness() *harness {
 	hrn := &harness{now: time.Unix(1000, 0)}
 	hrn.crd = NewCoordinator(Config{
@@ -34,9 +35,10 @@
 	return hrn
 }
 
+// record adds actions to those that takeTexts returns.
 func (hrn *harness) record(acts []Action) { hrn.acts = append(hrn.acts, acts...) }
 
-// setLeader makes an instance the leader of a shard with room for a number of tasks at once.
+// setLeader makes an instance the leader of a shard, in the own or another failure domain, with free capacity for a number of tasks.
 func (hrn *harness) setLeader(name shard.Name, near bool, leader shard.InstanceID, token int64, room int) {
 	tgt := Target{Shard: name, Leader: leader, Token: token}
 	domain := otherDomain
@@ -47,7 +49,7 @@
 	hrn.record(hrn.crd.HandleLoad(name, shard.Load{Number: token, Turnover: 1_000_000, Free: freeList(room), LinkWindow: 1 << 20}))
 }
 
-// setLongQueue tells that tasks wait in a shard for half a second.
+// setLongQueue reports a load of a shard without free capacity, in which tasks wait for half a second.
 func (hrn *harness) setLongQueue(name shard.Name, number int64) {
 	lod := shard.Load{Number: number, Turnover: 1_000_000, LinkWindow: 1 << 20}
 	for rnk := range lod.Waits {
@@ -56,6 +58,7 @@
 	hrn.record(hrn.crd.HandleLoad(name, lod))
 }
 
+// freeList returns the free capacity of a number of servers, with room for one task each.
 func freeList(room int) []int64 {
 	fre := make([]int64, room)
 	for idx := range fre {
@@ -64,6 +67,7 @@
 	return fre
 }
 
+// submit submits a job of one step; its tasks are expected to run for 100 ms, and its caller waits for 5 s.
 func (hrn *harness) submit(cal CallID, id string, tasks int) {
 	hrn.record(hrn.crd.HandleSubmit(hrn.now, cal, Submission{
 		ID: id, Service: "render", MaxAttempts: 3, CallerTimeout: 5 * time.Second,
@@ -72,11 +76,12 @@
 	}))
 }
 
+// report passes a leader's report on the order of a task.
 func (hrn *harness) report(from shard.InstanceID, token int64, task string, out shard.Outcome) {
 	hrn.record(hrn.crd.HandleReport(hrn.now, from, shard.Report{Task: task, Token: token, Outcome: out, Server: "s"}))
 }
 
-// takeTexts returns the actions since the last call, as text.
+// takeTexts returns the actions since its last call as texts.
 func (hrn *harness) takeTexts() []string {
 	var txts []string
 	for _, act := range hrn.acts {
@@ -85,15 +90,15 @@
 			how := ""
 			switch {
 			case act.Order.Bounce:
-				how = " bounce"
+				how = " return-if-busy"
 			case act.Order.Recall:
 				how = " recall"
 			case act.Order.Followed:
-				how = " followed"
+				how = " reassigned"
 			}
-			txts = append(txts, fmt.Sprintf("place %s at %s%s", act.Order.Task, act.Target.Leader, how))
+			txts = append(txts, fmt.Sprintf("order %s at %s%s", act.Order.Task, act.Target.Leader, how))
 		case CancelOrder:
-			txts = append(txts, fmt.Sprintf("withdraw %s at %s", act.Task, act.Target.Leader))
+			txts = append(txts, fmt.Sprintf("cancel %s at %s", act.Task, act.Target.Leader))
 		case Reply:
 			txts = append(txts, fmt.Sprintf("reply %d %s", act.Call, act.Answer.Result))
 		}
@@ -102,44 +107,44 @@
 	return txts
 }
 
-// checkScenario plays a story and checks what the desk does.
-func checkScenario(t *testing.T, story func(hrn *harness), want []string) {
+// checkScenario passes a scenario's events to a new Coordinator and compares the actions with want.
+func checkScenario(t *testing.T, scenario func(hrn *harness), want []string) {
 	t.Helper()
 	hrn := newHarness()
-	story(hrn)
+	scenario(hrn)
 	is.New(t).Equal(hrn.takeTexts(), want)
 }
 
+// A task runs twice, is forgotten or is ordered at a worse place than needed, or a caller gets no answer or a wrong one.
 func TestCoordinatorScenarios(t *testing.T) {
 	const task = "j.0.0.0"
 	cases := map[string]struct {
-		story func(hrn *harness)
-		want  []string
+		scenario func(hrn *harness)
+		want     []string
 	}{
 		"a job is done": {
 			// The answer goes out with the last task.
-			story: func(hrn *harness) {
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 2)
 				hrn.submit(1, "j", 2)
 				hrn.report(self, 1, "j.0.0.0", shard.Done)
 				hrn.report(self, 1, "j.0.0.1", shard.Done)
 			},
-			want: []string{"place j.0.0.0 at self/1 bounce", "place j.0.0.1 at self/1 bounce", "reply 1 succeeded"},
+			want: []string{"order j.0.0.0 at self/1 return-if-busy", "order j.0.0.1 at self/1 return-if-busy", "reply 1 succeeded"},
 		},
-		"room is used near by first, then elsewhere, then a queue": {
-			story: func(hrn *harness) {
+		"free capacity in the same domain is used first, then in another, then a queue": {
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 1)
 				hrn.setLeader("b.0", false, other, 2, 1)
 				hrn.submit(1, "j", 3)
 			},
 			want: []string{
-				"place j.0.0.0 at self/1 bounce", "place j.0.0.1 at other/2 bounce", "place j.0.0.2 at self/1",
+				"order j.0.0.0 at self/1 return-if-busy", "order j.0.0.1 at other/2 return-if-busy", "order j.0.0.2 at self/1",
 			},
 		},
-		"a task that starts at once is not called back": {
-			// Its leader has not yet told that it began when another shard tells of room. Only the task that waits in
-			// a queue is called back.
-			story: func(hrn *harness) {
+		"a task that starts at once is not recalled": {
+			// The leader has not reported the start yet when another shard reports free capacity. Only the task in a queue is recalled.
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 1)
 				hrn.setLeader("b.0", false, other, 2, 0)
 				hrn.submit(1, "j", 2)
@@ -147,12 +152,12 @@
 				hrn.record(hrn.crd.HandleLoad("b.0", shard.Load{Number: 3, Turnover: 1_000_000, Free: freeList(2), LinkWindow: 1 << 20}))
 			},
 			want: []string{
-				"place j.0.0.0 at self/1 bounce", "place j.0.0.1 at self/1", "place j.0.0.1 at self/1 recall",
+				"order j.0.0.0 at self/1 return-if-busy", "order j.0.0.1 at self/1", "order j.0.0.1 at self/1 recall",
 			},
 		},
 		"the instance stops": {
-			// What has begun may have run, what waits for a leader has not.
-			story: func(hrn *harness) {
+			// A task that has started may have run, one that waits for a leader has not.
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 1)
 				hrn.submit(1, "j", 1)
 				hrn.record(hrn.crd.HandleLeader(Target{Shard: "a.0"}, sameDomain))
@@ -162,57 +167,57 @@
 				hrn.submit(3, "l", 1)
 			},
 			want: []string{
-				"place j.0.0.0 at self/1 bounce", "reply 1 unfinished", "withdraw j.0.0.0 at self/1", "reply 2 not-run",
+				"order j.0.0.0 at self/1 return-if-busy", "reply 1 unfinished", "cancel j.0.0.0 at self/1", "reply 2 not-run",
 				"reply 3 not-run",
 			},
 		},
-		"an order bounces": {
-			// What was believed of the room was out of date; the other shard has some.
-			story: func(hrn *harness) {
+		"an order is returned": {
+			// The believed free capacity was out of date; the other shard has some.
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 1)
 				hrn.setLeader("b.0", false, other, 2, 1)
 				hrn.submit(1, "j", 1)
 				hrn.report(self, 1, task, shard.NotRun)
 			},
-			want: []string{"place j.0.0.0 at self/1 bounce", "place j.0.0.0 at other/2 bounce"},
+			want: []string{"order j.0.0.0 at self/1 return-if-busy", "order j.0.0.0 at other/2 return-if-busy"},
 		},
-		"a report of an earlier leadership is out of date": {
-			// The leader took the shard over anew and has the order again; what it said of the first one must not send
-			// the task elsewhere a second time.
-			story: func(hrn *harness) {
+		"a report of an earlier leadership is ignored": {
+			// The leader took the shard over again and has the order again; its report on the first order must not send the task
+			// elsewhere too.
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 1)
 				hrn.submit(1, "j", 1)
 				hrn.setLeader("a.0", true, self, 3, 1)
 				hrn.report(self, 1, task, shard.NotRun)
 			},
-			want: []string{"place j.0.0.0 at self/1 bounce", "place j.0.0.0 at self/1 followed"},
+			want: []string{"order j.0.0.0 at self/1 return-if-busy", "order j.0.0.0 at self/1 reassigned"},
 		},
-		"a leader is lost and another takes its shard": {
-			story: func(hrn *harness) {
+		"a leader is lost and another leads its shard": {
+			scenario: func(hrn *harness) {
 				hrn.setLeader("b.0", false, other, 2, 1)
 				hrn.submit(1, "j", 1)
 				hrn.record(hrn.crd.HandleInstanceLost(hrn.now, other))
 				hrn.setLeader("b.0", false, "third/4", 5, 0)
 			},
-			want: []string{"place j.0.0.0 at other/2 bounce", "place j.0.0.0 at third/4 followed"},
+			want: []string{"order j.0.0.0 at other/2 return-if-busy", "order j.0.0.0 at third/4 reassigned"},
 		},
 		"a leader is lost with its shard": {
-			// Until its leases have surely lapsed the task starts nowhere else.
-			story: func(hrn *harness) {
+			// Until the leases of the lost leader have surely expired, the task is not ordered elsewhere.
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 0)
 				hrn.setLeader("b.0", false, other, 2, 1)
 				hrn.submit(1, "j", 1)
 				hrn.record(hrn.crd.HandleInstanceLost(hrn.now, other))
 				hrn.now = hrn.now.Add(orphanExpiry - time.Millisecond)
 				hrn.record(hrn.crd.HandleTick(hrn.now))
-				hrn.record([]Action{Reply{Call: 99}}) // Marks the time.
+				hrn.record([]Action{Reply{Call: 99}}) // Marks the moment in the list of actions.
 				hrn.now = hrn.now.Add(time.Millisecond)
 				hrn.record(hrn.crd.HandleTick(hrn.now))
 			},
-			want: []string{"place j.0.0.0 at other/2 bounce", "reply 99 succeeded", "place j.0.0.0 at self/1"},
+			want: []string{"order j.0.0.0 at other/2 return-if-busy", "reply 99 succeeded", "order j.0.0.0 at self/1"},
 		},
-		"a task fails as often as it may": {
-			story: func(hrn *harness) {
+		"a task fails in all its attempts": {
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 1)
 				hrn.submit(1, "j", 1)
 				for range 3 {
@@ -220,40 +225,40 @@
 				}
 			},
 			want: []string{
-				"place j.0.0.0 at self/1 bounce", "place j.0.0.0 at self/1", "place j.0.0.0 at self/1", "reply 1 failed",
+				"order j.0.0.0 at self/1 return-if-busy", "order j.0.0.0 at self/1", "order j.0.0.0 at self/1", "reply 1 failed",
 			},
 		},
-		"the caller leaves": {
-			story: func(hrn *harness) {
+		"the caller closes its connection": {
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 1)
 				hrn.submit(1, "j", 1)
 				hrn.record(hrn.crd.HandleCallerGone(1))
 			},
-			want: []string{"place j.0.0.0 at self/1 bounce", "withdraw j.0.0.0 at self/1"},
+			want: []string{"order j.0.0.0 at self/1 return-if-busy", "cancel j.0.0.0 at self/1"},
 		},
-		"the caller sends its job again here": {
-			// Its first connection has gone without a word. One job, one answer to both.
-			story: func(hrn *harness) {
+		"the caller submits its job again here": {
+			// The caller's first connection broke without notice. There is one job, and one answer to both calls.
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 1)
 				hrn.submit(1, "j", 1)
 				hrn.submit(2, "j", 1)
 				hrn.record(hrn.crd.HandleCallerGone(1))
 				hrn.report(self, 1, task, shard.Done)
 			},
-			want: []string{"place j.0.0.0 at self/1 bounce", "reply 2 succeeded"},
+			want: []string{"order j.0.0.0 at self/1 return-if-busy", "reply 2 succeeded"},
 		},
-		"nobody leads a shard for long": {
-			// Just after a start jobs wait; then the instance is cut off and says at once that nothing has run.
-			story: func(hrn *harness) {
+		"no shard has a leader for long": {
+			// Just after a start jobs wait for a leader; after LeaderlessTimeout the instance is cut off and refuses jobs with NotRun.
+			scenario: func(hrn *harness) {
 				hrn.submit(1, "j", 1)
 				hrn.now = hrn.now.Add(2 * time.Second)
 				hrn.submit(2, "k", 1)
 				hrn.setLeader("a.0", true, self, 1, 1)
 			},
-			want: []string{"reply 2 not-run", "place j.0.0.0 at self/1"},
+			want: []string{"reply 2 not-run", "order j.0.0.0 at self/1"},
 		},
-		"the deadline passes with nothing placed": {
-			story: func(hrn *harness) {
+		"the deadline passes with nothing ordered": {
+			scenario: func(hrn *harness) {
 				hrn.submit(1, "j", 1)
 				hrn.now = hrn.now.Add(5 * time.Second)
 				hrn.record(hrn.crd.HandleTick(hrn.now))
@@ -261,27 +266,27 @@
 			want: []string{"reply 1 not-run"},
 		},
 		"the deadline passes with an order at a leader": {
-			// It may have started: that it has not run would be a guess.
-			story: func(hrn *harness) {
+			// The task may have started, so that NotRun would be a guess.
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 0)
 				hrn.submit(1, "j", 1)
 				hrn.now = hrn.now.Add(5 * time.Second)
 				hrn.record(hrn.crd.HandleTick(hrn.now))
 			},
-			want: []string{"place j.0.0.0 at self/1", "reply 1 unfinished", "withdraw j.0.0.0 at self/1"},
+			want: []string{"order j.0.0.0 at self/1", "reply 1 unfinished", "cancel j.0.0.0 at self/1"},
 		},
-		"room comes free elsewhere for a task that starts soon": {
-			// A call-back and another order take longer than the wait, and send the payload again.
-			story: func(hrn *harness) {
+		"capacity becomes free elsewhere for a task that starts soon": {
+			// A recall and another order take longer than the wait, and send the payload again.
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 0)
 				hrn.setLeader("b.0", false, other, 2, 0)
 				hrn.submit(1, "j", 1)
 				hrn.record(hrn.crd.HandleLoad("b.0", shard.Load{Number: 9, Turnover: 1_000_000, Free: freeList(1), LinkWindow: 1 << 20}))
 			},
-			want: []string{"place j.0.0.0 at self/1"},
+			want: []string{"order j.0.0.0 at self/1"},
 		},
-		"room comes free elsewhere": {
-			story: func(hrn *harness) {
+		"capacity becomes free elsewhere": {
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 0)
 				hrn.setLeader("b.0", false, other, 2, 0)
 				hrn.submit(1, "j", 1)
@@ -290,21 +295,21 @@
 				hrn.record(hrn.crd.HandleLoad("b.0", shard.Load{Number: 9, Turnover: 1_000_000, Free: freeList(1), LinkWindow: 1 << 20}))
 				hrn.report(self, 1, task, shard.NotRun)
 			},
-			want: []string{"place j.0.0.0 at self/1", "place j.0.0.0 at self/1 recall", "place j.0.0.0 at other/2 bounce"},
+			want: []string{"order j.0.0.0 at self/1", "order j.0.0.0 at self/1 recall", "order j.0.0.0 at other/2 return-if-busy"},
 		},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
 			hrn := newHarness()
-			cse.story(hrn)
+			cse.scenario(hrn)
 			chk.Equal(hrn.takeTexts(), cse.want)
 		})
 	}
 }
 
+// A task starts before all tasks of the steps that its step depends on are done.
 func TestStepDependencies(t *testing.T) {
-	// No task of a step starts before all tasks of the steps it follows are done.
 	chk := is.New(t)
 	hrn := newHarness()
 	hrn.setLeader("a.0", true, self, 1, 0)
@@ -316,21 +321,21 @@
 	hrn.report(self, 1, "j.0.0.0", shard.Done)
 	chk.Equal(len(hrn.takeTexts()), 0)
 	hrn.report(self, 1, "j.0.0.1", shard.Done)
-	chk.Equal(hrn.takeTexts(), []string{"place j.0.1.0 at self/1"})
+	chk.Equal(hrn.takeTexts(), []string{"order j.0.1.0 at self/1"})
 	hrn.report(self, 1, "j.0.1.0", shard.Done)
 	chk.Equal(hrn.takeTexts(), []string{"reply 1 succeeded"})
 }
 
+// A leader returns an order that doesn't run, but a server may have started it briefly, as its start call got no answer. The job is then
+// answered with NotRun although it may have run.
 func TestOrderThatMayHaveRun(t *testing.T) {
-	// A leader gives an order back that does not run; whether a server has begun it for a moment is not known, as its start got no
-	// answer. The job is not said to have run nothing, whatever becomes of it.
 	for mayHaveRun, want := range map[bool]Result{true: Unfinished, false: NotRun} {
 		t.Run(fmt.Sprint("may have run: ", mayHaveRun), func(t *testing.T) {
 			chk := is.New(t)
 			hrn := newHarness()
 			hrn.setLeader("a.0", true, other, 1, 4)
 			hrn.submit(1, "j", 1)
-			hrn.record(hrn.crd.HandleLeader(Target{Shard: "a.0"}, sameDomain)) // Nobody leads, so that it goes nowhere else.
+			hrn.record(hrn.crd.HandleLeader(Target{Shard: "a.0"}, sameDomain)) // Without a leader, the task is not ordered anew.
 			hrn.record(hrn.crd.HandleReport(hrn.now, other, shard.Report{
 				Task: "j.0.0.0", Token: 1, Outcome: shard.NotRun, MayHaveRun: mayHaveRun,
 			}))
--- a/internal/request/submission/too_late_test.go
+++ b/internal/request/submission/too_late_test.go
@@ -10,59 +10,60 @@
 	"chestnutstack/internal/request/shard"
 )
 
-// A job of which a task is known to be hopeless waits on, though nothing of it has begun; or one that has begun is given up.
+// A job waits on after a leader reported that a task of it can't start while useful and nothing of it has started, or a job is given up
+// of which a task has started.
 func TestTooLateJob(t *testing.T) {
-	hopeless := func(hrn *harness, task string) {
+	reportTooLate := func(hrn *harness, task string) {
 		hrn.record(hrn.crd.HandleReport(hrn.now, self, shard.Report{Task: task, Token: 1, Outcome: shard.NotRun, Hopeless: true}))
 	}
 	cases := map[string]struct {
-		story func(hrn *harness)
-		want  []string
+		scenario func(hrn *harness)
+		want     []string
 	}{
-		"nothing has begun": {
-			story: func(hrn *harness) {
+		"nothing has started": {
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 0)
 				hrn.submit(1, "j", 2)
-				hopeless(hrn, "j.0.0.0")
+				reportTooLate(hrn, "j.0.0.0")
 				hrn.report(self, 1, "j.0.0.1", shard.NotRun)
 			},
-			want: []string{"place j.0.0.0 at self/1", "place j.0.0.1 at self/1", "place j.0.0.1 at self/1 recall", "reply 1 not-run"},
+			want: []string{"order j.0.0.0 at self/1", "order j.0.0.1 at self/1", "order j.0.0.1 at self/1 recall", "reply 1 not-run"},
 		},
-		"the other task has begun meanwhile": {
-			story: func(hrn *harness) {
+		"the other task has started meanwhile": {
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 0)
 				hrn.submit(1, "j", 2)
-				hopeless(hrn, "j.0.0.0")
+				reportTooLate(hrn, "j.0.0.0")
 				hrn.report(self, 1, "j.0.0.1", shard.Begun)
 			},
-			want: []string{"place j.0.0.0 at self/1", "place j.0.0.1 at self/1", "place j.0.0.1 at self/1 recall", "place j.0.0.0 at self/1"},
+			want: []string{"order j.0.0.0 at self/1", "order j.0.0.1 at self/1", "order j.0.0.1 at self/1 recall", "order j.0.0.0 at self/1"},
 		},
-		"the other task has begun before": {
-			story: func(hrn *harness) {
+		"the other task has started before": {
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 1)
 				hrn.submit(1, "j", 2)
 				hrn.report(self, 1, "j.0.0.0", shard.Begun)
-				hopeless(hrn, "j.0.0.1")
+				reportTooLate(hrn, "j.0.0.1")
 			},
-			want: []string{"place j.0.0.0 at self/1 bounce", "place j.0.0.1 at self/1", "place j.0.0.1 at self/1"},
+			want: []string{"order j.0.0.0 at self/1 return-if-busy", "order j.0.0.1 at self/1", "order j.0.0.1 at self/1"},
 		},
-		"there is room elsewhere": {
-			story: func(hrn *harness) {
+		"there is free capacity elsewhere": {
+			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 0)
 				hrn.submit(1, "j", 1)
 				hrn.setLeader("b.0", true, other, 2, 1)
 				hrn.takeTexts()
-				hopeless(hrn, "j.0.0.0")
+				reportTooLate(hrn, "j.0.0.0")
 			},
-			want: []string{"place j.0.0.0 at other/2 bounce"},
+			want: []string{"order j.0.0.0 at other/2 return-if-busy"},
 		},
 	}
 	for name, cse := range cases {
-		t.Run(name, func(t *testing.T) { checkScenario(t, cse.story, cse.want) })
+		t.Run(name, func(t *testing.T) { checkScenario(t, cse.scenario, cse.want) })
 	}
 }
 
-// All whose jobs turn out hopeless in a burst are told to come back in the same second.
+// All callers whose jobs are refused as too late in a burst retry in the same second.
 func TestTooLateRetryTimesAreSpread(t *testing.T) {
 	chk := is.New(t)
 	hrn := newHarness()
@@ -83,7 +84,7 @@
 	chk.True(most-least > 2*time.Second)
 }
 
-// busyLoad returns the load of a shard in which work that is in time waits for four seconds.
+// busyLoad returns the load of a shard in which tasks of the first rank wait for four seconds.
 func busyLoad(number int64) shard.Load {
 	lod := shard.Load{Number: number, Turnover: 1_000_000, LinkWindow: 1 << 20}
 	lod.Waits[0] = 4 * time.Second
