--- a/internal/request/fault/fault_test.go
+++ b/internal/request/fault/fault_test.go
@@ -41,7 +41,7 @@
 }
 
 // A good server is ejected because a catalogue entry's tasks fail everywhere, or a faulty server is kept.
-func TestWhoIsAtFault(tst *testing.T) {
+func TestServerOrJobAtFault(tst *testing.T) {
 	for name, tcs := range map[string]struct {
 		fails func(srv int) float64
 		want  int
@@ -55,7 +55,7 @@
 		tst.Run(name, func(tst *testing.T) {
 			iss := is.New(tst)
 			det, servers := newServers(10)
-			// One Class for all tasks: the failure rate of the entry is learnt. TestEjectionHasAFloor uses new entries.
+			// One Class for all tasks: the failure rate of the entry is learnt. TestEjectedShareIsBounded uses new entries.
 			got := outcomes(det, servers, &fault.Class{}, tcs.fails, 3000)
 			iss.Equal(got, tcs.want)
 		})
@@ -63,7 +63,7 @@
 }
 
 // A job of hundreds of tasks, all of which fail on one server, ejects that server though the job is at fault.
-func TestOneJobIsNoEvidence(tst *testing.T) {
+func TestOneJobEjectsNoServer(tst *testing.T) {
 	iss := is.New(tst)
 	det, servers := newServers(10)
 	for range 300 {
@@ -73,7 +73,7 @@
 }
 
 // If every server seems faulty, all are ejected, and the last ones are overloaded with the work of the others.
-func TestEjectionHasAFloor(tst *testing.T) {
+func TestEjectedShareIsBounded(tst *testing.T) {
 	iss := is.New(tst)
 	det, servers := newServers(10)
 	for idx := range 1000 {
@@ -84,7 +84,7 @@
 }
 
 // An ejected server is probed too early, its probe delay doesn't grow, or it stays ejected after successful probes.
-func TestProbeBack(tst *testing.T) {
+func TestProbeRestoresServer(tst *testing.T) {
 	iss := is.New(tst)
 	det, servers := newServers(10)
 	srv := servers[0]
--- a/internal/request/job/job_test.go
+++ b/internal/request/job/job_test.go
@@ -46,7 +46,7 @@
 }
 
 // A task is sent again without proof that its last start had no effect, and so runs twice.
-func TestOnlyProofLeadsBackToWaiting(t *testing.T) {
+func TestOnlyProofAllowsResend(t *testing.T) {
 	tests := map[string]struct {
 		steps []func(*job.Task) bool
 		sent  bool
--- a/internal/request/order/order_test.go
+++ b/internal/request/order/order_test.go
@@ -75,7 +75,7 @@
 }
 
 // A partner's slot time from a period when no other had work delays its next job behind the other's large one.
-func TestIdleTimeIsNoCredit(tst *testing.T) {
+func TestIdlePartnerIsNotCharged(tst *testing.T) {
 	iss := is.New(tst)
 	que := order.NewQueue[string](1)
 	alone := put(que, "alone", "one", 0, time.Second)
@@ -89,7 +89,7 @@
 
 // A declaration that is wrong by a factor is used for too long, stragglers are taken for a change of the workload, or a real change
 // goes unnoticed.
-func TestRunTimeLearns(tst *testing.T) {
+func TestRunTimeEstimator(tst *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	around := func(dur time.Duration) time.Duration {
 		return time.Duration(float64(dur) * math.Exp(0.2*rnd.NormFloat64()))
--- a/internal/request/roundtrip/roundtrip_test.go
+++ b/internal/request/roundtrip/roundtrip_test.go
@@ -9,7 +9,7 @@
 
 // A link fills, and answers that took 2 ms take 150 ms. With a constant timeout of 100 ms each order is retried, the servers get two
 // orders for one, and the link stays full.
-func TestPatience(t *testing.T) {
+func TestTimeout(t *testing.T) {
 	const least, most = 100 * time.Millisecond, 300 * time.Millisecond
 	cases := map[string]struct {
 		took     []time.Duration
