--- a/internal/connection/caller/check.go
+++ b/internal/connection/caller/check.go
@@ -110,8 +110,8 @@
 	}
 	for idx, tsk := range req.GetTasks() {
 		spc.Tasks[idx] = job.TaskSpec{
-			Payload:  tsk.GetPayload(),
-			Expected: tsk.GetExpectedRunTime().AsDuration(),
+			Payload:         tsk.GetPayload(),
+			ExpectedRunTime: tsk.GetExpectedRunTime().AsDuration(),
 		}
 	}
 	return spc
@@ -125,7 +125,7 @@
 		NotRepeatable:  !spc.Repeatable,
 	}
 	for _, tsk := range spc.Tasks {
-		req.Tasks = append(req.Tasks, &callerpb.Task{Payload: tsk.Payload, ExpectedRunTime: durationpb.New(tsk.Expected)})
+		req.Tasks = append(req.Tasks, &callerpb.Task{Payload: tsk.Payload, ExpectedRunTime: durationpb.New(tsk.ExpectedRunTime)})
 	}
 	return req
 }
--- a/internal/connection/caller/codec.go
+++ b/internal/connection/caller/codec.go
@@ -105,15 +105,15 @@
 		JobId:        jb.ID().String(),
 		SubmissionId: Unscoped(jb.Spec().Submission),
 		State:        callerpb.JobState_JOB_STATE_WAITING,
-		Tasks:        uint32(jb.Tasks()),
-		Started:      uint32(jb.Started()),
-		Finished:     uint32(jb.Finished()),
+		Tasks:        uint32(jb.TaskCount()),
+		Started:      uint32(jb.StartedCount()),
+		Finished:     uint32(jb.FinishedCount()),
 	}
 	switch {
 	case jb.Ended():
 		prg.State = callerpb.JobState_JOB_STATE_ENDED
 		prg.Answer = answer(jb)
-	case jb.Started() > 0:
+	case jb.StartedCount() > 0:
 		prg.State = callerpb.JobState_JOB_STATE_RUNNING
 	}
 	return prg
@@ -133,7 +133,7 @@
 		ans.Reason = err.Reason()
 		return ans
 	}
-	ans.Tasks = make([]*callerpb.TaskAnswer, jb.Tasks())
+	ans.Tasks = make([]*callerpb.TaskAnswer, jb.TaskCount())
 	for idx := range ans.Tasks {
 		tsk := jb.Task(uint32(idx))
 		ans.Tasks[idx] = &callerpb.TaskAnswer{Index: uint32(idx), Payload: tsk.Payload()}
--- a/internal/process/entry/capacity_test.go
+++ b/internal/process/entry/capacity_test.go
@@ -217,7 +217,7 @@
 
 func endCapacityJob(tab *table, rec *record) {
 	jb := rec.running()
-	for idx := range jb.Tasks() {
+	for idx := range jb.TaskCount() {
 		jb.Task(uint32(idx)).MarkRecovered([]byte("answer=0123456789abcdef"))
 	}
 	jb.End(nil)
--- a/internal/process/entry/recover.go
+++ b/internal/process/entry/recover.go
@@ -64,7 +64,7 @@
 // and returns the job with what is left to do.
 func (ins *Instance) takeOver(ctx context.Context, jb *job.Job) (*job.Job, error) {
 	below := firstFence + rand.Uint32N(fenceSpread)
-	known := make([]*backendpb.Status, jb.Tasks())
+	known := make([]*backendpb.Status, jb.TaskCount())
 	servers := ins.view.allAddresses()
 	for len(servers) > 0 {
 		rpls, err := ins.fenceAll(ctx, servers, &backendpb.Fence{Submission: string(jb.Spec().Submission), BelowAttempt: below})
--- a/internal/request/dispatch/admit.go
+++ b/internal/request/dispatch/admit.go
@@ -56,23 +56,23 @@
 
 func (dsp *Dispatcher) newJobState(jb *job.Job) *jobState {
 	spc := jb.Spec()
-	jst := &jobState{job: jb, cls: dsp.classOf(spc.Class.Name), flights: make([]flight, jb.Tasks())}
+	jst := &jobState{job: jb, cls: dsp.classOf(spc.Class.Name), flights: make([]flight, jb.TaskCount())}
 	jst.item.Value = jst
 	jst.ptn = dsp.partnerOf(spc.Class.Owner)
-	jst.pending = make([]uint32, 0, jb.Tasks())
+	jst.pending = make([]uint32, 0, jb.TaskCount())
 	var declared time.Duration
 	for idx := range jst.flights {
 		// The last pending task is sent first. A job that was taken over has some answers already.
-		last := uint32(jb.Tasks() - 1 - idx)
+		last := uint32(jb.TaskCount() - 1 - idx)
 		if jb.Task(last).State() == job.Waiting {
 			jst.pending = append(jst.pending, last)
 		}
 		jst.flights[idx].jst = jst
 		jst.flights[idx].idx = uint32(idx)
-		declared += spc.Tasks[idx].Expected
+		declared += spc.Tasks[idx].ExpectedRunTime
 	}
-	if jb.Tasks() > 0 {
-		jst.declared = declared / time.Duration(jb.Tasks())
+	if jb.TaskCount() > 0 {
+		jst.declared = declared / time.Duration(jb.TaskCount())
 	}
 	jst.cost = dsp.estimate(jst)
 	jst.widths = dsp.pool.Widths(spc.Class.Needs, nil)
@@ -171,7 +171,7 @@
 
 // hasWaiting reports whether a task still has to be sent, be it pending or between two attempts.
 func (jst *jobState) hasWaiting() bool {
-	for idx := range jst.job.Tasks() {
+	for idx := range jst.job.TaskCount() {
 		if jst.job.Task(uint32(idx)).State() == job.Waiting {
 			return true
 		}
--- a/internal/request/dispatch/bench_test.go
+++ b/internal/request/dispatch/bench_test.go
@@ -125,7 +125,7 @@
 }
 
 func answerAll(dsp *Dispatcher, now time.Time, jb *job.Job) {
-	for idx := range jb.Tasks() {
+	for idx := range jb.TaskCount() {
 		tsk := jb.Task(uint32(idx))
 		srv := dsp.servers[ServerID(tsk.Server())]
 		if srv == nil {
--- a/internal/request/dispatch/property_test.go
+++ b/internal/request/dispatch/property_test.go
@@ -238,7 +238,7 @@
 	}
 	switch err := sjb.jb.Err(); {
 	case err == nil:
-		for idx := range sjb.jb.Tasks() {
+		for idx := range sjb.jb.TaskCount() {
 			tsk := sjb.jb.Task(uint32(idx))
 			if tsk.State() != job.Answered || string(tsk.Payload()) != taskKey(tsk.ID()) {
 				tst.Fatalf("%s: task %d is %v with answer %q", sub, idx, tsk.State(), tsk.Payload())
@@ -253,7 +253,7 @@
 
 func (stm *stirred) started(sjb *stirredJob) int {
 	num := 0
-	for idx := range sjb.jb.Tasks() {
+	for idx := range sjb.jb.TaskCount() {
 		num += stm.starts[fmt.Sprintf("%s#%d", sjb.jb.Spec().Submission, idx)]
 	}
 	return num
--- a/internal/request/dispatch/stop_test.go
+++ b/internal/request/dispatch/stop_test.go
@@ -35,7 +35,7 @@
 	cls.run(simStart.Add(time.Minute))
 	iss.True(jb.Complete())
 	servers := map[string]bool{}
-	for idx := range jb.Tasks() {
+	for idx := range jb.TaskCount() {
 		servers[jb.Task(uint32(idx)).Server()] = true
 	}
 	most := uint64(len(servers) * 34 / 5)
--- a/internal/request/fault/fault.go
+++ b/internal/request/fault/fault.go
@@ -81,7 +81,7 @@
 // Class holds the learnt failure rate of one catalogue entry; the zero value has no outcomes.
 type Class struct {
 	rate float64
-	// weight is the number of outcomes that rate averages over.
+	// weight is the number of outcomes that rate averages over, at most maxWeight.
 	weight float64
 	// lastServer is the backend server of the last failure counted.
 	lastServer *Server
@@ -190,7 +190,7 @@
 	return float64(det.ejected+1) <= det.cfg.MaxEjectedShare*float64(det.total)
 }
 
-// eject marks a backend server as ejected until its next probe, after twice its last probe delay.
+// eject marks a backend server as ejected, with a probe after twice its last probe delay, within the configured bounds.
 func (det *Detector) eject(now time.Time, srv *Server) {
 	srv.probeDelay = min(max(2*srv.probeDelay, det.cfg.InitialProbeDelay), det.cfg.MaxProbeDelay)
 	srv.state = Ejected
--- a/internal/request/job/job.go
+++ b/internal/request/job/job.go
@@ -25,8 +25,8 @@
 // TaskSpec is the caller's request for one task.
 type TaskSpec struct {
 	Payload []byte
-	// Expected is the run time that the caller declared; 0 if it declared none.
-	Expected time.Duration
+	// ExpectedRunTime is the run time that the caller declared; 0 if it declared none.
+	ExpectedRunTime time.Duration
 }
 
 // Job is the state of a submission that an entry instance has accepted.
@@ -63,8 +63,8 @@
 // Spec returns the caller's request, which must not be modified.
 func (jb *Job) Spec() *Spec { return &jb.spec }
 
-// Tasks returns the number of tasks.
-func (jb *Job) Tasks() int { return len(jb.tasks) }
+// TaskCount returns the number of tasks.
+func (jb *Job) TaskCount() int { return len(jb.tasks) }
 
 // Task returns the task with an index counted from 0, or nil if there is none.
 func (jb *Job) Task(index uint32) *Task {
@@ -74,11 +74,11 @@
 	return &jb.tasks[index]
 }
 
-// Started returns the number of tasks that were sent to a backend server and are not proved not to have run there.
-func (jb *Job) Started() int { return jb.started }
+// StartedCount returns the number of tasks that were sent to a backend server and are not proved not to have run there.
+func (jb *Job) StartedCount() int { return jb.started }
 
-// Finished returns the number of tasks with an answer.
-func (jb *Job) Finished() int { return jb.finished }
+// FinishedCount returns the number of tasks with an answer.
+func (jb *Job) FinishedCount() int { return jb.finished }
 
 // RecordRunTime records the run time of one of the tasks, without its waiting time.
 func (jb *Job) RecordRunTime(dur time.Duration) { jb.longest = max(jb.longest, dur) }
--- a/internal/request/order/heap.go
+++ b/internal/request/order/heap.go
@@ -1,6 +1,7 @@
 package order
 
-// before reports whether the item at position one goes before the item at position two: by key, then by the order in which they were first put in.
+// before reports whether the item at position one goes before the item at position two: by key, then by the order in which the items were
+// first put in.
 func (pqu *partnerQueue[T]) before(one, two int) bool {
 	fst, snd := pqu.heap[one], pqu.heap[two]
 	if fst.key != snd.key {
--- a/internal/request/submission/coordinator.go
+++ b/internal/request/submission/coordinator.go
@@ -252,7 +252,7 @@
 	stp := &tsk.job.sub.Steps[tsk.step]
 	viw, fits := crd.chooseShard(tsk, stp)
 	if viw == nil {
-		return // No shard has a leader; the next one that appears gets the task.
+		return // No shard accepts work; the next one that does gets the task.
 	}
 	if viw.leader != crd.cfg.Self && !crd.cfg.Link.Fits(tsk.job.sub.Payload) {
 		// A task that is not sent has surely not run, and doesn't delay heartbeats on the link.
@@ -371,7 +371,7 @@
 	crd.answer(jb, Answer{Result: Succeeded})
 }
 
-// taskFailed records a failed run, and orders the task anew on other servers or fails the job.
+// taskFailed records a failed run, and orders the task again, to avoid that server, or fails the job after MaxAttempts.
 func (crd *Coordinator) taskFailed(tsk *task, rep shard.Report) {
 	jb := tsk.job
 	jb.started = true
--- a/internal/request/submission/coordinator_test.go
+++ b/internal/request/submission/coordinator_test.go
@@ -123,7 +123,7 @@
 		want     []string
 	}{
 		"a job is done": {
-			// The answer goes out with the last task.
+			// The answer is sent when the last task is done.
 			scenario: func(hrn *harness) {
 				hrn.setLeader("a.0", true, self, 1, 2)
 				hrn.submit(1, "j", 2)
