--- a/internal/request/submission/admit_test.go
+++ b/internal/request/submission/admit_test.go
@@ -44,7 +44,9 @@
 	}{
 		"in time":         {inTime: 50 * time.Millisecond, late: long, overdue: long, want: "order j.0.0.0 at self/1"},
 		"late and useful": {inTime: 150 * time.Millisecond, late: 400 * time.Millisecond, overdue: long, want: "order j.0.0.0 at self/1"},
-		"too late to be useful, before the caller gives up": {inTime: 150 * time.Millisecond, late: 600 * time.Millisecond, overdue: time.Second, want: "order j.0.0.0 at self/1"},
+		"too late to be useful, before the caller gives up": {
+			inTime: 150 * time.Millisecond, late: 600 * time.Millisecond, overdue: time.Second, want: "order j.0.0.0 at self/1",
+		},
 		"never":                             {inTime: 150 * time.Millisecond, late: 600 * time.Millisecond, overdue: long, want: "reply 1 not-run"},
 		"never, but there is free capacity": {inTime: long, late: long, overdue: long, room: 1, want: "order j.0.0.0 at self/1 return-if-busy"},
 	}
--- a/internal/request/submission/choose.go
+++ b/internal/request/submission/choose.go
@@ -66,7 +66,7 @@
 // the shard is nil if none accepts work. Among equal ones it is the shard with the most free capacity.
 //
 // The pools of a failure domain are small (some 36 tasks of 14 cores): tasks that find theirs full and use free capacity elsewhere don't
-// wait 0.9 s for other tasks.
+// wait for the 0.9 s that other tasks run.
 func (crd *Coordinator) chooseShard(tsk *task, stp *Step) (*shardView, bool) {
 	var bst *shardView
 	var least time.Duration
--- a/internal/request/submission/coordinator_test.go
+++ b/internal/request/submission/coordinator_test.go
@@ -30,7 +30,8 @@
 func newHarness() *harness {
 	hrn := &harness{now: time.Unix(1000, 0)}
 	hrn.crd = NewCoordinator(Config{
-		Self: self, FailureDomain: sameDomain, OrphanExpiry: orphanExpiry, RetryAfter: time.Second, LeaderlessTimeout: 1500 * time.Millisecond, Link: shard.NewUplink(0),
+		Self: self, FailureDomain: sameDomain, OrphanExpiry: orphanExpiry, RetryAfter: time.Second,
+		LeaderlessTimeout: 1500 * time.Millisecond, Link: shard.NewUplink(0),
 	}, hrn.now)
 	return hrn
 }
