--- a/internal/process/daemon/closed.go
+++ b/internal/process/daemon/closed.go
@@ -27,9 +27,9 @@
 	dmn.cnt.badClosings.Add(int64(unreadable))
 	var changed bool
 	if bat.from < 0 {
-		changed = dmn.domains.ReadAll(recs, bat.next)
+		changed = dmn.domains.ApplySnapshot(recs, bat.next)
 	} else {
-		changed = dmn.domains.Read(recs, bat.next)
+		changed = dmn.domains.ApplyRecords(recs, bat.next)
 	}
 	dmn.countRefusedClosings()
 	if changed {
@@ -51,7 +51,7 @@
 
 // countRefusedClosings tells of closings that were not believed since the last time.
 func (dmn *Daemon) countRefusedClosings() {
-	if num := dmn.domains.Refused() - dmn.refusedClosings; num > 0 {
+	if num := dmn.domains.RefusedClosings() - dmn.refusedClosings; num > 0 {
 		dmn.refusedClosings += num
 		dmn.cnt.badClosings.Add(num)
 		dmn.log.Error().Int64("closings", num).Msg("closings of unknown failure domains are refused")
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -80,7 +80,7 @@
 	self    shard.InstanceID
 	round   int64
 	desk    *submission.Desk
-	council *succession.Council
+	council *succession.Elector
 	leaders map[shard.Name]*shard.Leader
 	// uplink is what the leaders share of the way to the servers.
 	uplink  *shard.Uplink
@@ -98,7 +98,7 @@
 	// services are those that a configuration has ever named here: servers of others are not spoken to.
 	services      map[string]bool
 	listReadAt    time.Time
-	census        *serverlist.Census
+	census        *serverlist.Completeness
 	follower      *serverlist.Follower
 	listChanges   listed
 	serversWanted chan struct{}
@@ -111,7 +111,7 @@
 	// listed is set once the list of instances was read.
 	listed bool
 	// reaches are the ways to shards that this instance may take over; asked counts the askings.
-	reaches map[shard.Name]*succession.Reach
+	reaches map[shard.Name]*succession.Reachability
 	asked   int
 	// leadersChanged is set once the own instance has taken a shard or left one, or the shards have changed: the next tick
 	// tells the desk.
@@ -146,9 +146,9 @@
 		services: map[string]bool{}, domains: domainlist.New(prm.Settings.FailureDomains),
 		callers: map[submission.Call]chan submission.Answer{},
 		passed:  map[shard.InstanceID]time.Time{},
-		reaches: map[shard.Name]*succession.Reach{}, openWith: map[shard.InstanceID]bool{},
+		reaches: map[shard.Name]*succession.Reachability{}, openWith: map[shard.InstanceID]bool{},
 		follower:      serverlist.NewFollower(serverlist.DefaultConfig(prm.Settings.Instance), prm.Now()),
-		census:        serverlist.NewCensus(serverlist.CensusConfig{Return: entriesReturn, Missing: missingFor}),
+		census:        serverlist.NewCompleteness(serverlist.CompletenessConfig{RecoveryTime: entriesReturn, MaxUnlisted: missingFor}),
 		serversWanted: make(chan struct{}, 1),
 		joined:        make(chan struct{}), configured: make(chan struct{}),
 	}
@@ -271,7 +271,7 @@
 	dmn.deskDo(dmn.desk.SetClosed(now, dmn.domains.View().Closed))
 	close(dmn.joined)
 	dmn.council = succession.New(succession.DefaultConfig(), succession.Instance{
-		ID: dmn.self, Domain: set.FailureDomain, Processor: set.Processor,
+		ID: dmn.self, Domain: set.FailureDomain, Cores: set.Processor,
 	}, now)
 	dmn.mesh = mesh.New(mesh.Config{
 		Name: set.Instance, Life: life, Address: set.PeerAddress, Interval: beatInterval, SilentBeats: silentBeats,
--- a/internal/process/daemon/decide.go
+++ b/internal/process/daemon/decide.go
@@ -99,11 +99,11 @@
 
 func (dmn *Daemon) tick(now time.Time) {
 	if pause := now.Sub(dmn.tickedAt); pause > heldUpFor {
-		dmn.council.HeldUp(now) // So is a process that has just started.
+		dmn.council.HandlePause(now) // So is a process that has just started.
 		dmn.logHeldUp(pause)
 	}
 	dmn.tickedAt = now
-	if dmn.listed && dmn.cfg.Load() != nil && dmn.domains.Known() && len(dmn.entries) > 0 {
+	if dmn.listed && dmn.cfg.Load() != nil && dmn.domains.Initialized() && len(dmn.entries) > 0 {
 		if !dmn.council.Ready() {
 			dmn.council.SetReady(now)
 			// Two instances that don't know of each other that they are ready would both take a shard over.
@@ -134,7 +134,7 @@
 
 // leaveWeaker leaves the shards that another instance leads with a newer token.
 func (dmn *Daemon) leaveWeaker(now time.Time) {
-	for _, name := range dmn.council.Weaker() {
+	for _, name := range dmn.council.Superseded() {
 		dmn.abandon(now, name, false)
 	}
 	dmn.carryOut(now)
@@ -168,7 +168,7 @@
 	dmn.divisions.Confirm()
 	ldr := shard.NewLeader(dmn.shardConfig(), dmn.uplink, name, tok, now)
 	dmn.leaders[name] = ldr
-	dmn.council.Took(now, name, tok)
+	dmn.council.HandleTakeover(now, name, tok)
 	dmn.leadersChanged = true
 	dmn.log.Info().Str("shard", string(name)).Int64("token", tok).Msg("taking the shard over")
 	for shd := range dmn.divided {
@@ -197,7 +197,7 @@
 	ldr := dmn.leaders[name]
 	delete(dmn.leaders, name)
 	dmn.shardDo(name, ldr.Resign())
-	dmn.council.Left(now, name, fenced)
+	dmn.council.HandleLeadershipEnd(now, name, fenced)
 	dmn.leadersChanged = true
 	dmn.log.Info().Str("shard", string(name)).Bool("fenced", fenced).Msg("leaving the shard")
 }
@@ -249,10 +249,10 @@
 	for _, mis := range dmn.missing {
 		// A leader that gave its shard up for want of entries left its servers' leases to lapse, and what ran there was lost.
 		if now.Sub(mis.since) <= missingFor && dmn.services[mis.ent.Service] {
-			dmn.divisions.Keep(dmn.divided, mis.ent.FailureDomain)
+			dmn.divisions.KeepEmptyShards(dmn.divided, mis.ent.FailureDomain)
 		}
 	}
-	dmn.council.SetShards(succession.Sorted(dmn.divided))
+	dmn.council.SetShards(succession.SortedShards(dmn.divided))
 	dmn.leadersChanged = true
 	gone := maps.Clone(dmn.leaders)
 	for shd := range dmn.divided {
--- a/internal/process/daemon/heard.go
+++ b/internal/process/daemon/heard.go
@@ -52,13 +52,13 @@
 		dmn.redivide(now)
 	}
 	ins := succession.Instance{
-		ID: from, Domain: bet.Domain, Processor: bet.Processor,
+		ID: from, Domain: bet.Domain, Cores: bet.Processor,
 		Ready: bet.Ready, Leaving: bet.Leaving, Leads: map[shard.Name]int64{},
 	}
 	for _, led := range bet.Leads {
 		ins.Leads[led.Shard] = led.Token
 	}
-	fresh, changed := dmn.council.Heard(ins)
+	fresh, changed := dmn.council.HandleHeartbeat(ins)
 	if fresh {
 		dmn.log.Info().Str("peer", string(from)).Msg("instance heard")
 	}
@@ -85,7 +85,7 @@
 // read it by itself, and then the others send it in turn: its neighbours first, who hear it most often, and the others in an
 // order that differs from peer to peer.
 func (dmn *Daemon) passConfiguration(now time.Time, to shard.InstanceID, data []byte) {
-	turn := time.Duration(dmn.council.Turn(to))
+	turn := time.Duration(dmn.council.NotifyRank(to))
 	after := passAfter
 	if dmn.cfgFromPeer {
 		after = 0 // The store is out of this instance's reach, and more likely out of the peer's, too.
@@ -162,7 +162,7 @@
 	defer dmn.exit(now)
 	dmn.log.Warn().Str("peer", string(id)).Str("cause", string(cau)).Msg("instance lost")
 	dmn.passOn(id, cau)
-	dmn.council.Lost(now, id, cau.Silence())
+	dmn.council.HandleInstanceLost(now, id, cau.Silence())
 	for name, ldr := range dmn.leaders {
 		dmn.shardDo(name, ldr.OwnerLost(now, id))
 	}
@@ -174,11 +174,11 @@
 // passOn tells the own failure domain that one of its instances has fallen silent: not all of them watch it, and whoever is to take
 // its shards over may not.
 func (dmn *Daemon) passOn(lost shard.InstanceID, cau mesh.Cause) {
-	ins := dmn.council.Others()[lost]
+	ins := dmn.council.Peers()[lost]
 	if ins == nil || ins.Domain != dmn.prm.Settings.FailureDomain || !cau.Silence() || cau == mesh.Doubted {
 		return // It was seen to end, or the others were told by whoever missed it first.
 	}
-	for id, oth := range dmn.council.Others() {
+	for id, oth := range dmn.council.Peers() {
 		if id != lost && oth.Domain == ins.Domain {
 			dmn.mesh.Send(id, mesh.Missed{Instance: lost})
 		}
@@ -187,7 +187,7 @@
 
 // doubt asks an instance at once that another one has missed.
 func (dmn *Daemon) doubt(from, missed shard.InstanceID) {
-	if missed == dmn.self || dmn.council.Others()[missed] == nil {
+	if missed == dmn.self || dmn.council.Peers()[missed] == nil {
 		return
 	}
 	dmn.log.Info().Str("peer", string(missed)).Str("from", string(from)).Msg("instance missed by another")
--- a/internal/process/daemon/list.go
+++ b/internal/process/daemon/list.go
@@ -51,7 +51,7 @@
 	if dmn.council == nil {
 		return math.MaxInt32
 	}
-	return dmn.council.Rank(readersDuty)
+	return dmn.council.DutyRank(readersDuty)
 }
 
 // readersDuty ranks the instances for reading the list.
@@ -68,7 +68,7 @@
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	dmn.mu.Lock()
-	from := dmn.follower.Next()
+	from := dmn.follower.NextOffset()
 	dmn.mu.Unlock()
 	dmn.cnt.storeReads.Add(1)
 	dmn.cnt.listReads.Add(1)
@@ -86,7 +86,7 @@
 	}
 	if errors.Is(err, platform.ErrCompacted) {
 		dmn.mu.Lock()
-		dmn.follower.Forget()
+		dmn.follower.Reset()
 		dmn.mu.Unlock()
 	}
 	return err
@@ -97,8 +97,8 @@
 	now := dmn.enter()
 	defer dmn.exit(now)
 	dmn.listReadAt = began
-	dmn.census.ReadAll(now, next)
-	dmn.follower.ReadAll(next)
+	dmn.census.HandleFullRead(now, next)
+	dmn.follower.HandleFullRead(next)
 	dmn.dropUnlisted(now, recs)
 	for _, rec := range recs {
 		dmn.takeServer(now, rec)
@@ -113,15 +113,15 @@
 	now := dmn.enter()
 	defer dmn.exit(now)
 	dmn.listReadAt = began
-	dmn.census.Read(now)
-	known := dmn.follower.Read(from, next)
+	dmn.census.HandleRead(now)
+	known := dmn.follower.HandleRead(from, next)
 	changed := false
 	for num, rec := range recs {
 		if num < known || !dmn.takeServer(now, rec) {
 			continue
 		}
 		changed = true
-		dmn.follower.Changed(serverlist.Change{Offset: from + int64(num), Key: rec.Key, Value: rec.Value})
+		dmn.follower.HandleChange(serverlist.Change{Offset: from + int64(num), Key: rec.Key, Value: rec.Value})
 	}
 	dmn.logListed(fromStore)
 	if changed || dmn.anyListShort() {
@@ -150,13 +150,13 @@
 func (dmn *Daemon) takeDigest(dig *serverlist.Digest) {
 	now := dmn.enter()
 	defer dmn.exit(now)
-	known := dmn.follower.Next()
+	known := dmn.follower.NextOffset()
 	if known < 0 {
 		return // The list is about to be read in full.
 	}
-	chgs, follows := dmn.follower.Take(now, dig)
+	chgs, follows := dmn.follower.HandleDigest(now, dig)
 	if !follows {
-		dmn.log.Info().Str("by", dig.By).Int64("from", dig.From).Int64("known", known).Msg("digest of the list of servers is missing")
+		dmn.log.Info().Str("by", dig.Reader).Int64("from", dig.From).Int64("known", known).Msg("digest of the list of servers is missing")
 		dmn.wantServers()
 		return
 	}
@@ -164,7 +164,7 @@
 	for _, chg := range chgs {
 		changed = dmn.takeServer(now, platform.Record{Key: chg.Key, Value: chg.Value}) || changed
 	}
-	dmn.logListed(dig.By)
+	dmn.logListed(dig.Reader)
 	if changed {
 		dmn.redivide(now)
 	}
@@ -173,7 +173,7 @@
 // publishDigests writes what was read for the other instances, if it is this one's turn.
 func (dmn *Daemon) publishDigests(ctx context.Context) {
 	now := dmn.enter()
-	digs := dmn.follower.Publish(now, dmn.readersBefore())
+	digs := dmn.follower.PendingDigests(now, dmn.readersBefore())
 	dmn.exit(now)
 	for idx := range digs {
 		if err := dmn.publishDigest(ctx, &digs[idx]); err != nil {
@@ -181,7 +181,7 @@
 			return
 		}
 		dmn.mu.Lock()
-		dmn.follower.Published(now, &digs[idx])
+		dmn.follower.HandlePublished(now, &digs[idx])
 		dmn.mu.Unlock()
 	}
 }
--- a/internal/process/daemon/list_story_test.go
+++ b/internal/process/daemon/list_story_test.go
@@ -116,8 +116,8 @@
 				continue
 			}
 			prc.dmn.mu.Lock()
-			chk.True(!prc.dmn.council.Vacant("domain-1"))
-			for id := range prc.dmn.council.Others() {
+			chk.True(!prc.dmn.council.HasVacantShard("domain-1"))
+			for id := range prc.dmn.council.Peers() {
 				chk.True(id != wld.entries[led].dmn.self)
 			}
 			prc.dmn.mu.Unlock()
--- a/internal/process/daemon/pace.go
+++ b/internal/process/daemon/pace.go
@@ -18,11 +18,11 @@
 
 // updatePaces tells the mesh how often to talk to each instance: at each beat with those on which a lease depends, or a take-over.
 func (dmn *Daemon) updatePaces() {
-	others := dmn.council.Others()
+	others := dmn.council.Peers()
 	own := dmn.prm.Settings.FailureDomain
-	vacant := dmn.council.Vacant(own)
+	vacant := dmn.council.HasVacantShard(own)
 	watched := dmn.council.Neighbours()
-	near := dmn.council.Near()
+	near := dmn.council.DomainPeerCount()
 	nearPace := max(leaderPace, near/nearShare)
 	farPace := max(leaderPace, (len(others)-near)/farShare)
 	paces := make(map[shard.InstanceID]mesh.Pace, len(others))
@@ -34,7 +34,7 @@
 		switch {
 		case dmn.openWith[id], watched[id], vacant && ins.Domain == own:
 			pace = 1
-		case !dmn.council.Leads() && len(ins.Leads) == 0:
+		case !dmn.council.LeadsAny() && len(ins.Leads) == 0:
 			pace = max(pace, strangerPace)
 		}
 		paces[id] = mesh.Pace{Intervals: pace, OpenOrders: dmn.openWith[id]}
@@ -45,7 +45,7 @@
 // nudgeNear tells the own failure domain at once what is new here and concerns who is to lead its shards.
 func (dmn *Daemon) nudgeNear() {
 	dmn.mesh.NudgeIf(func(id shard.InstanceID) bool {
-		ins := dmn.council.Others()[id]
+		ins := dmn.council.Peers()[id]
 		return ins != nil && ins.Domain == dmn.prm.Settings.FailureDomain
 	})
 }
--- a/internal/process/daemon/reach.go
+++ b/internal/process/daemon/reach.go
@@ -17,14 +17,14 @@
 func (dmn *Daemon) reachable(now time.Time, shd succession.Shard) bool {
 	rch := dmn.reaches[shd.Name]
 	if rch == nil {
-		rch = &succession.Reach{}
+		rch = &succession.Reachability{}
 		dmn.reaches[shd.Name] = rch
 	}
-	if rch.Holds(now) {
+	if rch.Confirmed(now) {
 		delete(dmn.reaches, shd.Name)
 		return true
 	}
-	if ents := dmn.divided[shd]; len(ents) > 0 && rch.Ask(now) {
+	if ents := dmn.divided[shd]; len(ents) > 0 && rch.StartProbe(now) {
 		// Another server is asked each time: the first may be the one that is down.
 		dmn.asked++
 		ent := ents[dmn.asked%len(ents)]
@@ -34,7 +34,7 @@
 }
 
 func (dmn *Daemon) askReach(name shard.Name, ent shard.ServerEntry) error {
-	ctx, cancel := context.WithTimeout(dmn.ctx, succession.ReachTimeout)
+	ctx, cancel := context.WithTimeout(dmn.ctx, succession.ProbeTimeout)
 	defer cancel()
 	asked := dmn.now()
 	_, vdt, err := dmn.prm.Servers.Hold(ctx, platform.Server{ID: ent.ID, Address: ent.Address}, lowestToken, 0, 0, 0)
@@ -46,11 +46,11 @@
 	}
 	lin := dmn.log.Info().Str("shard", string(name)).Str("server", string(ent.ID))
 	if vdt == shard.Unknown {
-		rch.Unanswered(now)
+		rch.HandleProbeFailure(now)
 		lin.Err(err).Msg("shard of another failure domain has no leader and is out of reach")
 		return nil
 	}
-	if rch.Answered(now, asked) {
+	if rch.HandleProbeAnswer(now, asked) {
 		lin.Stringer("verdict", vdt).Msg("shard of another failure domain has no leader and is in reach")
 		// Its instances are called at once: if they lead it, they are heard before the shard is taken over.
 		dmn.mesh.NudgeIf(func(shard.InstanceID) bool { return false })
--- a/internal/process/daemon/servers.go
+++ b/internal/process/daemon/servers.go
@@ -108,7 +108,7 @@
 
 // listedTo returns up to which offset of the list all servers that may live are known, and have their entries; 0 if that can't be told.
 func (dmn *Daemon) listedTo(now time.Time) int64 {
-	if !dmn.census.Whole(now) {
+	if !dmn.census.Complete(now) {
 		return 0
 	}
 	for _, mis := range dmn.missing {
@@ -116,12 +116,12 @@
 			return 0
 		}
 	}
-	return max(0, dmn.follower.Next())
+	return max(0, dmn.follower.NextOffset())
 }
 
 // hearListed takes in up to which offset of the list another instance knows all servers that may live.
 func (dmn *Daemon) hearListed(now time.Time, from shard.InstanceID, to int64) {
-	if !dmn.census.Told(now, to) {
+	if !dmn.census.HandlePeerComplete(now, to) {
 		return
 	}
 	dmn.log.Info().Str("from", string(from)).Int64("offset", to).Msg("the list of backend servers is whole")
@@ -134,7 +134,7 @@
 // that lapsed are not in it, and the store may just have come back. What goes from the list later is kept as missing.
 func (dmn *Daemon) listing(now time.Time, shd succession.Shard) shard.Listing {
 	lst := shard.Listing{Listed: dmn.divided[shd], All: dmn.entries}
-	if dmn.census.Whole(now) {
+	if dmn.census.Complete(now) {
 		lst.ReadAt = dmn.listReadAt
 	}
 	for _, mis := range dmn.missing {
--- a/internal/process/succession/explore_list_test.go
+++ b/internal/process/succession/explore_list_test.go
@@ -41,10 +41,10 @@
 		return
 	}
 	if nod.listReadAt.IsZero() {
-		nod.census.ReadAll(now, offset)
+		nod.census.HandleFullRead(now, offset)
 	}
 	if now.Sub(nod.ply.began) < warmUp {
-		nod.census.Told(now, offset) // The system had been at work for long when the play began.
+		nod.census.HandlePeerComplete(now, offset) // The system had been at work for long when the play began.
 	}
 	nod.listReadAt, nod.listedTo = began, offset
 	for _, srv := range nod.ply.servers {
@@ -57,7 +57,7 @@
 			delete(nod.missing, srv.id)
 		}
 	}
-	nod.cnc.SetShards(Sorted(nod.shards()))
+	nod.cnc.SetShards(SortedShards(nod.shards()))
 	nod.leadersChanged = true
 	nod.tellServers(now)
 }
@@ -69,7 +69,7 @@
 			continue
 		}
 		lst := shard.Listing{Listed: ents, All: nod.entries}
-		if nod.census.Whole(now) {
+		if nod.census.Complete(now) {
 			lst.ReadAt = nod.listReadAt
 		}
 		for _, id := range sortedKeys(nod.missing) {
--- a/internal/process/succession/explore_node_test.go
+++ b/internal/process/succession/explore_node_test.go
@@ -27,7 +27,7 @@
 	// checked is when silence was last looked for.
 	tickedAt, checked, sharedAt, openAt time.Time
 	round                               int64
-	cnc                                 *Council
+	cnc                                 *Elector
 	dsk                                 *submission.Desk
 	ldrs                                map[shard.Name]*shard.Leader
 	upl                                 *shard.Uplink
@@ -35,13 +35,13 @@
 	entries                             map[shard.ServerID]shard.ServerEntry
 	missing                             map[shard.ServerID]shard.ServerEntry
 	listReadAt                          time.Time
-	census                              *serverlist.Census
+	census                              *serverlist.Completeness
 	// listedTo is the offset of the last read of the list.
 	listedTo       int64
 	local          []func()
 	calls          map[submission.Call]*attempt
 	openWith       map[shard.InstanceID]bool
-	reaches        map[shard.Name]*Reach
+	reaches        map[shard.Name]*Reachability
 	leadersChanged bool
 }
 
@@ -82,13 +82,13 @@
 		ply: ply, name: name, domain: domain, life: ply.lives, id: lifeID(name, ply.lives), began: ply.now, round: ply.lives,
 		inbox: map[string][]func(){}, ldrs: map[shard.Name]*shard.Leader{}, upl: shard.NewUplink(0),
 		sessions: map[string]*session{}, calls: map[submission.Call]*attempt{}, openWith: map[shard.InstanceID]bool{},
-		entries: map[shard.ServerID]shard.ServerEntry{}, missing: map[shard.ServerID]shard.ServerEntry{}, reaches: map[shard.Name]*Reach{},
-		checked: ply.now, census: serverlist.NewCensus(serverlist.CensusConfig{Return: entryReturn, Missing: missingFor}),
+		entries: map[shard.ServerID]shard.ServerEntry{}, missing: map[shard.ServerID]shard.ServerEntry{}, reaches: map[shard.Name]*Reachability{},
+		checked: ply.now, census: serverlist.NewCompleteness(serverlist.CompletenessConfig{RecoveryTime: entryReturn, MaxUnlisted: missingFor}),
 	}
 	nod.dsk = submission.NewDesk(submission.Config{
 		Self: nod.id, Domain: domain, Proof: proof, RetryAfter: time.Second, Vacancy: 1500 * time.Millisecond, Link: nod.upl,
 	}, ply.now)
-	nod.cnc = New(DefaultConfig(), Instance{ID: nod.id, Domain: domain, Processor: 0.4}, ply.now)
+	nod.cnc = New(DefaultConfig(), Instance{ID: nod.id, Domain: domain, Cores: 0.4}, ply.now)
 	for _, oth := range ply.names {
 		if oth != name {
 			nod.sessions[oth] = &session{nod: nod, peer: oth, own: fakeEpoch{life: nod.life}, interval: fakeBeatInterval}
@@ -116,7 +116,7 @@
 
 func (nod *node) beat() fakeBeat {
 	bet := fakeBeat{round: nod.round, listedTo: nod.wholeTo(), loads: map[shard.Name]shard.Load{}, ins: Instance{
-		ID: nod.id, Domain: nod.domain, Processor: 0.4, Ready: nod.cnc.Ready(), Leaving: nod.leaving, Leads: map[shard.Name]int64{},
+		ID: nod.id, Domain: nod.domain, Cores: 0.4, Ready: nod.cnc.Ready(), Leaving: nod.leaving, Leads: map[shard.Name]int64{},
 	}}
 	for _, name := range sortedKeys(nod.ldrs) {
 		bet.ins.Leads[name] = nod.ldrs[name].Token()
@@ -127,7 +127,7 @@
 
 // wholeTo returns up to which offset of the list all servers that may live are known, and listed.
 func (nod *node) wholeTo() int64 {
-	if !nod.census.Whole(nod.ply.now) || len(nod.missing) > 0 {
+	if !nod.census.Complete(nod.ply.now) || len(nod.missing) > 0 {
 		return 0
 	}
 	return nod.listedTo
@@ -139,8 +139,8 @@
 			nod.ldrs[name].OwnerHeard(from, at)
 		}
 		nod.round = max(nod.round, bet.round)
-		nod.census.Told(now, bet.listedTo)
-		if _, changed := nod.cnc.Heard(bet.ins); changed {
+		nod.census.HandlePeerComplete(now, bet.listedTo)
+		if _, changed := nod.cnc.HandleHeartbeat(bet.ins); changed {
 			nod.leaveWeaker()
 			nod.updateLeaders()
 			nod.updatePaces()
@@ -173,7 +173,7 @@
 func (nod *node) lost(id shard.InstanceID, silent bool) {
 	nod.ply.note("%s loses %s", nod.id, id)
 	nod.run(func(now time.Time) {
-		nod.cnc.Lost(now, id, silent)
+		nod.cnc.HandleInstanceLost(now, id, silent)
 		for _, name := range sortedKeys(nod.ldrs) {
 			nod.shardDo(name, nod.ldrs[name].OwnerLost(now, id))
 		}
@@ -250,7 +250,7 @@
 
 func (nod *node) tick(now time.Time) {
 	if now.Sub(nod.tickedAt) > 60*time.Millisecond {
-		nod.cnc.HeldUp(now)
+		nod.cnc.HandlePause(now)
 	}
 	nod.tickedAt = now
 	if len(nod.entries) > 0 && !nod.leaving && !nod.cnc.Ready() {
@@ -258,7 +258,7 @@
 		nod.nudge()
 	}
 	nod.leaveWeaker()
-	for _, shd := range Sorted(nod.shards()) {
+	for _, shd := range SortedShards(nod.shards()) {
 		if ldr := nod.ldrs[shd.Name]; ldr != nil && shd.Domain != nod.domain && ldr.Disobeyed(now) {
 			nod.abandon(shd.Name, false)
 		}
@@ -293,25 +293,25 @@
 func (nod *node) reachable(now time.Time, shd Shard) bool {
 	rch := nod.reaches[shd.Name]
 	if rch == nil {
-		rch = &Reach{}
+		rch = &Reachability{}
 		nod.reaches[shd.Name] = rch
 	}
-	if rch.Holds(now) {
+	if rch.Confirmed(now) {
 		delete(nod.reaches, shd.Name)
 		return true
 	}
 	ents := nod.shards()[shd]
-	if len(ents) == 0 || !rch.Ask(now) {
+	if len(ents) == 0 || !rch.StartProbe(now) {
 		return false
 	}
 	ent := ents[nod.ply.rnd.IntN(len(ents))]
 	act := shard.Hold{Server: ent, Token: 1}
-	nod.call(ent.ID, ReachTimeout, func(srv *fakeServer, reply func(shard.Look, shard.Verdict)) { srv.hold(act, reply) },
+	nod.call(ent.ID, ProbeTimeout, func(srv *fakeServer, reply func(shard.Look, shard.Verdict)) { srv.hold(act, reply) },
 		func(_ shard.Look, vdt shard.Verdict) {
 			nod.run(func(at time.Time) {
 				if vdt == shard.Unknown {
-					rch.Unanswered(at)
-				} else if rch.Answered(at, now) {
+					rch.HandleProbeFailure(at)
+				} else if rch.HandleProbeAnswer(at, now) {
 					nod.nudge()
 				}
 			})
@@ -325,7 +325,7 @@
 	nod.ply.note("%s takes %s over with %d", nod.id, name, tok)
 	ldr := shard.NewLeader(shard.DefaultConfig(), nod.upl, name, tok, now)
 	nod.ldrs[name] = ldr
-	nod.cnc.Took(now, name, tok)
+	nod.cnc.HandleTakeover(now, name, tok)
 	nod.leadersChanged = true
 	nod.tellServers(now)
 	nod.nudge()
@@ -340,19 +340,19 @@
 	nod.ply.note("%s leaves %s, fenced %t", nod.id, name, fenced)
 	delete(nod.ldrs, name)
 	nod.shardDo(name, ldr.Resign())
-	nod.cnc.Left(nod.ply.now, name, fenced)
+	nod.cnc.HandleLeadershipEnd(nod.ply.now, name, fenced)
 	nod.leadersChanged = true
 }
 
 func (nod *node) leaveWeaker() {
-	for _, name := range nod.cnc.Weaker() {
+	for _, name := range nod.cnc.Superseded() {
 		nod.abandon(name, false)
 	}
 	nod.carryOut()
 }
 
 func (nod *node) updateLeaders() {
-	for _, shd := range Sorted(nod.shards()) {
+	for _, shd := range SortedShards(nod.shards()) {
 		led, tok := nod.cnc.Leader(shd)
 		nod.deskDo(nod.dsk.SetLeader(submission.Target{Shard: shd.Name, Leader: led, Token: tok}, shd.Domain))
 	}
--- a/internal/process/succession/explore_trouble_test.go
+++ b/internal/process/succession/explore_trouble_test.go
@@ -64,7 +64,7 @@
 // force has any node take any shard over, whatever made it do so.
 func (ply *play) force() {
 	nod := ply.anyNode()
-	shds := Sorted(nod.shards())
+	shds := SortedShards(nod.shards())
 	if nod.dead || nod.leaving || len(shds) == 0 || !nod.cnc.Ready() {
 		return
 	}
--- a/internal/process/succession/reach_test.go
+++ b/internal/process/succession/reach_test.go
@@ -42,20 +42,20 @@
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
 			now := time.Unix(1000, 0)
-			rch := &Reach{}
+			rch := &Reachability{}
 			for _, ask := range cse.asks {
 				now = now.Add(ask.after)
-				chk.True(rch.Ask(now))
-				chk.True(!rch.Ask(now)) // One asking at a time.
+				chk.True(rch.StartProbe(now))
+				chk.True(!rch.StartProbe(now)) // One asking at a time.
 				asked := now
 				now = now.Add(way)
 				if ask.answered {
-					rch.Answered(now, asked)
+					rch.HandleProbeAnswer(now, asked)
 				} else {
-					rch.Unanswered(now)
+					rch.HandleProbeFailure(now)
 				}
 			}
-			chk.Equal(rch.Holds(now.Add(cse.rest)), cse.want)
+			chk.Equal(rch.Confirmed(now.Add(cse.rest)), cse.want)
 		})
 	}
 }
--- a/internal/process/succession/ring.go
+++ b/internal/process/succession/ring.go
@@ -15,7 +15,7 @@
 
 // Neighbours returns the instances of the own failure domain that this one watches, and that watch it: those next to it on a
 // ring by hash. All instances that hear the same others see the same ring.
-func (cnc *Council) Neighbours() map[shard.InstanceID]bool {
+func (cnc *Elector) Neighbours() map[shard.InstanceID]bool {
 	near := map[shard.InstanceID]bool{}
 	for _, id := range cnc.around(cnc.self.ID) {
 		near[id] = true
@@ -23,18 +23,18 @@
 	return near
 }
 
-// Turn returns how many instances go before the own one in telling another what it lacks: its neighbours are the first.
-func (cnc *Council) Turn(to shard.InstanceID) int {
+// NotifyRank returns how many instances go before the own one in telling another what it lacks: its neighbours are the first.
+func (cnc *Elector) NotifyRank(to shard.InstanceID) int {
 	if ins := cnc.others[to]; ins != nil && ins.Domain == cnc.self.Domain {
 		if idx := slices.Index(cnc.around(to), cnc.self.ID); idx >= 0 {
 			return idx
 		}
 	}
-	return 1 + cnc.Rank(string(to))
+	return 1 + cnc.DutyRank(string(to))
 }
 
 // around returns the neighbours of an instance of the own failure domain, the nearest first.
-func (cnc *Council) around(id shard.InstanceID) []shard.InstanceID {
+func (cnc *Elector) around(id shard.InstanceID) []shard.InstanceID {
 	rng := cnc.ring()
 	at := slices.Index(rng, id)
 	var near []shard.InstanceID
@@ -50,7 +50,7 @@
 }
 
 // ring returns the instances of the own failure domain in the order of their hashes.
-func (cnc *Council) ring() []shard.InstanceID {
+func (cnc *Elector) ring() []shard.InstanceID {
 	type place struct {
 		id   shard.InstanceID
 		hash uint64
@@ -71,8 +71,8 @@
 	return rng
 }
 
-// Near returns how many of the others stand in the own failure domain.
-func (cnc *Council) Near() int {
+// DomainPeerCount returns how many of the others stand in the own failure domain.
+func (cnc *Elector) DomainPeerCount() int {
 	num := 0
 	for _, ins := range cnc.others {
 		if ins.Domain == cnc.self.Domain {
--- a/internal/process/succession/ring_test.go
+++ b/internal/process/succession/ring_test.go
@@ -11,17 +11,17 @@
 )
 
 // ringOf returns the councils of all instances of a failure domain that hear each other and one of another domain.
-func ringOf(num int) map[shard.InstanceID]*Council {
-	cncs := map[shard.InstanceID]*Council{}
+func ringOf(num int) map[shard.InstanceID]*Elector {
+	cncs := map[shard.InstanceID]*Elector{}
 	for idx := range num {
 		id := shard.InstanceID(fmt.Sprint("near-", idx, "/1"))
 		cncs[id] = New(DefaultConfig(), Instance{ID: id, Domain: "a"}, time.Unix(1000, 0))
 		for oth := range num {
 			if oth != idx {
-				cncs[id].Heard(Instance{ID: shard.InstanceID(fmt.Sprint("near-", oth, "/1")), Domain: "a"})
+				cncs[id].HandleHeartbeat(Instance{ID: shard.InstanceID(fmt.Sprint("near-", oth, "/1")), Domain: "a"})
 			}
 		}
-		cncs[id].Heard(Instance{ID: "far/1", Domain: "b"})
+		cncs[id].HandleHeartbeat(Instance{ID: "far/1", Domain: "b"})
 	}
 	return cncs
 }
@@ -44,7 +44,7 @@
 }
 
 // An instance that the store turns away waits for a configuration from one that hears it every few seconds only.
-func TestNeighboursTellFirst(t *testing.T) {
+func TestNeighboursNotifyFirst(t *testing.T) {
 	chk := is.New(t)
 	cncs := ringOf(30)
 	const to = shard.InstanceID("near-7/1")
@@ -53,16 +53,16 @@
 		if id == to {
 			continue
 		}
-		turns[cnc.Turn(to)]++
+		turns[cnc.NotifyRank(to)]++
 		if cnc.Neighbours()[to] {
-			chk.True(cnc.Turn(to) < 2*ringReach)
+			chk.True(cnc.NotifyRank(to) < 2*ringReach)
 		}
 	}
 	chk.Equal(turns[0], 1)
 }
 
 // All shards are gone through on each tick, though nothing has changed; and a leader that is lost is followed as soon all the same.
-func TestNothingToDecide(t *testing.T) {
+func TestUnchangedShardsAreSkipped(t *testing.T) {
 	chk := is.New(t)
 	brd := newBoard(0.4)
 	var shs []Shard
@@ -72,13 +72,13 @@
 		leads[shs[num].Name] = 7
 	}
 	brd.cnc.SetShards(shs)
-	brd.cnc.Heard(Instance{ID: "x/1", Domain: "a", Processor: 4000, Ready: true, Leads: leads})
+	brd.cnc.HandleHeartbeat(Instance{ID: "x/1", Domain: "a", Cores: 4000, Ready: true, Leads: leads})
 	brd.taken(time.Second)
 	brd.cnc.Decide(brd.now)
 	chk.Equal(len(brd.cnc.toDecide(brd.now.Add(20*time.Millisecond))), 0)
 	chk.Equal(len(brd.cnc.toDecide(brd.now.Add(300*time.Millisecond))), 120)
-	brd.cnc.Heard(Instance{ID: "y/1", Domain: "b", Processor: 0.4, Ready: true})
-	brd.cnc.Lost(brd.now, "x/1", false)
+	brd.cnc.HandleHeartbeat(Instance{ID: "y/1", Domain: "b", Cores: 0.4, Ready: true})
+	brd.cnc.HandleInstanceLost(brd.now, "x/1", false)
 	chk.True(len(brd.taken(100*time.Millisecond)) >= 2)
 }
 
@@ -89,22 +89,22 @@
 	shd := Shard{Name: "a.0", Domain: "a"}
 	leader := func() shard.InstanceID { led, _ := brd.cnc.Leader(shd); return led }
 	claim := func(id shard.InstanceID, leads map[shard.Name]int64) {
-		brd.cnc.Heard(Instance{ID: id, Domain: "a", Ready: true, Leads: leads})
+		brd.cnc.HandleHeartbeat(Instance{ID: id, Domain: "a", Ready: true, Leads: leads})
 	}
 	claim("x/1", map[shard.Name]int64{"a.0": 5, "a.1": 6})
 	chk.Equal(leader(), shard.InstanceID("x/1"))
-	brd.cnc.Took(brd.now, "a.0", 9)
+	brd.cnc.HandleTakeover(brd.now, "a.0", 9)
 	chk.Equal(leader(), shard.InstanceID("self/1"))
 	claim("y/1", map[shard.Name]int64{"a.0": 12})
-	chk.Equal(brd.cnc.Weaker(), []shard.Name{"a.0"})
-	brd.cnc.Left(brd.now, "a.0", false)
+	chk.Equal(brd.cnc.Superseded(), []shard.Name{"a.0"})
+	brd.cnc.HandleLeadershipEnd(brd.now, "a.0", false)
 	claim("y/1", nil)
 	chk.Equal(leader(), shard.InstanceID("x/1"))
 	claim("x/1", map[shard.Name]int64{"a.1": 6})
 	chk.Equal(leader(), shard.InstanceID(""))
 	claim("x/1", map[shard.Name]int64{"a.0": 20})
-	brd.cnc.Lost(brd.now, "x/1", true)
-	brd.cnc.Lost(brd.now, "x/1", true)
+	brd.cnc.HandleInstanceLost(brd.now, "x/1", true)
+	brd.cnc.HandleInstanceLost(brd.now, "x/1", true)
 	chk.Equal(leader(), shard.InstanceID(""))
 	chk.Equal(len(brd.cnc.claims), 0)
 }
--- a/internal/process/succession/shards.go
+++ b/internal/process/succession/shards.go
@@ -60,9 +60,9 @@
 	return divided
 }
 
-// Keep adds the shards of a failure domain without servers, so that their leaders stay. The entries of all servers that were
+// KeepEmptyShards adds the shards of a failure domain without servers, so that their leaders stay. The entries of all servers that were
 // cut off together with their domain lapse together, while its instances lead them well.
-func (dvs Divisions) Keep(divided map[Shard][]shard.ServerEntry, domain string) {
+func (dvs Divisions) KeepEmptyShards(divided map[Shard][]shard.ServerEntry, domain string) {
 	for num := range dvs[domain].Count {
 		shd := shardOf(domain, num)
 		if _, there := divided[shd]; !there {
@@ -103,8 +103,8 @@
 	return bst
 }
 
-// Sorted returns the shards by name.
-func Sorted(divided map[Shard][]shard.ServerEntry) []Shard {
+// SortedShards returns the shards by name.
+func SortedShards(divided map[Shard][]shard.ServerEntry) []Shard {
 	shs := make([]Shard, 0, len(divided))
 	for shd := range divided {
 		shs = append(shs, shd)
--- a/internal/process/succession/succession.go
+++ b/internal/process/succession/succession.go
@@ -15,8 +15,8 @@
 type Instance struct {
 	ID     shard.InstanceID
 	Domain string
-	// Processor is the share of a core that the instance has.
-	Processor      float64
+	// Cores is the share of a core that the instance has.
+	Cores      float64
 	Ready, Leaving bool
 	// Leads has the fencing token of each shard that the instance leads.
 	Leads map[shard.Name]int64
@@ -30,51 +30,51 @@
 
 // Config has the times that a Council works with.
 type Config struct {
-	// Patience is how long a shard may look as if it had no leader before another one takes it over: a
+	// TakeoverDelay is how long a shard may look as if it had no leader before another one takes it over: a
 	// leader that was just heard for the first time may not have said yet what it leads.
-	Patience time.Duration
-	// Foreign is the patience with shards of another failure domain, whose own instances should go first:
+	TakeoverDelay time.Duration
+	// ForeignTakeoverDelay is the patience with shards of another failure domain, whose own instances should go first:
 	// when all start at once they do so within 0.3 s.
-	Foreign time.Duration
-	// Newcomer is how long an instance that has become ready listens before it leads: the others have said by then what they
+	ForeignTakeoverDelay time.Duration
+	// ReadyDelay is how long an instance that has become ready listens before it leads: the others have said by then what they
 	// lead and that they are ready, too, which may wait for the next beat. With 60 ms, two that had started together both
 	// took a shard in one of twenty plays, and its jobs waited for a second.
-	Newcomer time.Duration
-	// Alone is how long an instance that hears nobody waits before it takes over what others led: it is
+	ReadyDelay time.Duration
+	// IsolationTimeout is how long an instance that hears nobody waits before it takes over what others led: it is
 	// more likely cut off than the last one.
-	Alone time.Duration
-	// HeldUp is for how long an instance that was short of processor does not trust what it missed: it may have lost
+	IsolationTimeout time.Duration
+	// PauseGrace is for how long an instance that was short of processor does not trust what it missed: it may have lost
 	// leaders that were fine.
-	HeldUp time.Duration
-	// Turn is how much longer than the instance before it each further candidate waits.
-	Turn time.Duration
-	// Return is how long an instance is ready before it takes over a shard of its failure domain from one
+	PauseGrace time.Duration
+	// CandidateDelay is how much longer than the instance before it each further candidate waits.
+	CandidateDelay time.Duration
+	// ReturnDelay is how long an instance is ready before it takes over a shard of its failure domain from one
 	// outside.
-	Return time.Duration
-	// Look is how often all shards are looked at where nothing has changed: one whose leader may make way is found so.
-	Look time.Duration
-	// Backoff is the first pause after a shard was lost to another leader; it doubles with each loss.
-	Backoff, MaxBackoff time.Duration
+	ReturnDelay time.Duration
+	// RecheckInterval is how often all shards are looked at where nothing has changed: one whose leader may make way is found so.
+	RecheckInterval time.Duration
+	// InitialBackoff is the first pause after a shard was lost to another leader; it doubles with each loss.
+	InitialBackoff, MaxBackoff time.Duration
 }
 
 // DefaultConfig returns the times for instances that beat each 100 ms and are missed after 400 ms.
 func DefaultConfig() Config {
 	return Config{
-		Patience:   30 * time.Millisecond,
-		Foreign:    400 * time.Millisecond,
-		Newcomer:   110 * time.Millisecond,
-		Alone:      1500 * time.Millisecond,
-		HeldUp:     500 * time.Millisecond,
-		Turn:       250 * time.Millisecond,
-		Return:     500 * time.Millisecond,
-		Look:       250 * time.Millisecond,
-		Backoff:    50 * time.Millisecond,
+		TakeoverDelay:   30 * time.Millisecond,
+		ForeignTakeoverDelay:    400 * time.Millisecond,
+		ReadyDelay:   110 * time.Millisecond,
+		IsolationTimeout:      1500 * time.Millisecond,
+		PauseGrace:     500 * time.Millisecond,
+		CandidateDelay:       250 * time.Millisecond,
+		ReturnDelay:     500 * time.Millisecond,
+		RecheckInterval:       250 * time.Millisecond,
+		InitialBackoff:    50 * time.Millisecond,
 		MaxBackoff: 5 * time.Second,
 	}
 }
 
-// Council knows the instances and the shards, as seen from one instance.
-type Council struct {
+// Elector knows the instances and the shards, as seen from one instance.
+type Elector struct {
 	cfg       Config
 	self      Instance
 	started   time.Time
@@ -109,9 +109,9 @@
 }
 
 // New returns the council as an instance sees it that has heard nobody.
-func New(cfg Config, self Instance, now time.Time) *Council {
+func New(cfg Config, self Instance, now time.Time) *Elector {
 	self.Leads = map[shard.Name]int64{}
-	return &Council{
+	return &Elector{
 		cfg: cfg, self: self,
 		started: now, aloneAt: now,
 		others: map[shard.InstanceID]*Instance{}, vacant: map[shard.Name]time.Time{}, losses: map[shard.Name]loss{},
@@ -120,24 +120,24 @@
 }
 
 // SetShards tells the council which shards there are.
-func (cnc *Council) SetShards(shs []Shard) { cnc.shards, cnc.changed = shs, true }
+func (cnc *Elector) SetShards(shs []Shard) { cnc.shards, cnc.changed = shs, true }
 
 // SetReady tells the council that its own instance can lead.
-func (cnc *Council) SetReady(now time.Time) {
+func (cnc *Elector) SetReady(now time.Time) {
 	if !cnc.self.Ready {
 		cnc.self.Ready, cnc.readyAt, cnc.changed = true, now, true
 	}
 }
 
 // SetLeaving tells the council that its own instance is to stop: others take its shards over.
-func (cnc *Council) SetLeaving() { cnc.self.Leaving = true }
+func (cnc *Elector) SetLeaving() { cnc.self.Leaving = true }
 
 // Ready reports whether the own instance can lead.
-func (cnc *Council) Ready() bool { return cnc.self.Ready }
+func (cnc *Elector) Ready() bool { return cnc.self.Ready }
 
-// Heard takes in what an instance says of itself and reports whether it was not heard before, and whether
+// HandleHeartbeat takes in what an instance says of itself and reports whether it was not heard before, and whether
 // anything has changed.
-func (cnc *Council) Heard(ins Instance) (fresh, changed bool) {
+func (cnc *Elector) HandleHeartbeat(ins Instance) (fresh, changed bool) {
 	old := cnc.others[ins.ID]
 	cnc.others[ins.ID] = &ins
 	cnc.everHeard = true
@@ -155,8 +155,8 @@
 	return fresh, changed
 }
 
-// Lost removes an instance that is not heard any more; a silent one was not seen to end.
-func (cnc *Council) Lost(now time.Time, id shard.InstanceID, silent bool) {
+// HandleInstanceLost removes an instance that is not heard any more; a silent one was not seen to end.
+func (cnc *Elector) HandleInstanceLost(now time.Time, id shard.InstanceID, silent bool) {
 	ins := cnc.others[id]
 	if ins == nil {
 		return
@@ -172,16 +172,16 @@
 	}
 }
 
-// Took notes that the own instance leads a shard.
-func (cnc *Council) Took(now time.Time, name shard.Name, token int64) {
+// HandleTakeover notes that the own instance leads a shard.
+func (cnc *Elector) HandleTakeover(now time.Time, name shard.Name, token int64) {
 	cnc.self.Leads[name] = token
 	cnc.claims.add(cnc.self.ID, name, token)
 	cnc.tookAt, cnc.changed = now, true
 }
 
-// Left notes that the own instance leads a shard no more; fenced says that another leader's token
+// HandleLeadershipEnd notes that the own instance leads a shard no more; fenced says that another leader's token
 // was met, though nobody else was heard to lead it.
-func (cnc *Council) Left(now time.Time, name shard.Name, fenced bool) {
+func (cnc *Elector) HandleLeadershipEnd(now time.Time, name shard.Name, fenced bool) {
 	delete(cnc.self.Leads, name)
 	cnc.claims.remove(cnc.self.ID, name)
 	cnc.changed = true
@@ -189,18 +189,18 @@
 		return
 	}
 	los := cnc.losses[name]
-	pause := min(cnc.cfg.Backoff<<min(los.times, maxDoublings), cnc.cfg.MaxBackoff)
+	pause := min(cnc.cfg.InitialBackoff<<min(los.times, maxDoublings), cnc.cfg.MaxBackoff)
 	cnc.losses[name] = loss{until: now.Add(pause), times: los.times + 1}
 }
 
 const maxDoublings = 6
 
-// Others returns the instances that are heard.
-func (cnc *Council) Others() map[shard.InstanceID]*Instance { return cnc.others }
+// Peers returns the instances that are heard.
+func (cnc *Elector) Peers() map[shard.InstanceID]*Instance { return cnc.others }
 
-// Rank returns how many of the instances that are heard go before the own one in a duty that one is to do, by
+// DutyRank returns how many of the instances that are heard go before the own one in a duty that one is to do, by
 // hash: 0 is the first.
-func (cnc *Council) Rank(duty string) int {
+func (cnc *Elector) DutyRank(duty string) int {
 	own := xxhash.Sum64String(duty + " " + string(cnc.self.ID))
 	rnk := 0
 	for id := range cnc.others {
@@ -211,8 +211,8 @@
 	return rnk
 }
 
-// Vacant reports whether a shard of a failure domain has no leader as far as is known.
-func (cnc *Council) Vacant(domain string) bool {
+// HasVacantShard reports whether a shard of a failure domain has no leader as far as is known.
+func (cnc *Elector) HasVacantShard(domain string) bool {
 	for _, shd := range cnc.shards {
 		if shd.Domain != domain {
 			continue
@@ -224,16 +224,16 @@
 	return false
 }
 
-// Leads reports whether the own instance leads any shard.
-func (cnc *Council) Leads() bool { return len(cnc.self.Leads) > 0 }
+// LeadsAny reports whether the own instance leads any shard.
+func (cnc *Elector) LeadsAny() bool { return len(cnc.self.Leads) > 0 }
 
 // Leader returns who leads a shard as far as is known, and with which fencing token; nobody is "".
-func (cnc *Council) Leader(shd Shard) (shard.InstanceID, int64) {
+func (cnc *Elector) Leader(shd Shard) (shard.InstanceID, int64) {
 	return cnc.claims.strongest(shd.Name)
 }
 
-// Weaker returns the shards that the own instance leads and that another one leads with a newer token.
-func (cnc *Council) Weaker() []shard.Name {
+// Superseded returns the shards that the own instance leads and that another one leads with a newer token.
+func (cnc *Elector) Superseded() []shard.Name {
 	var names []shard.Name
 	for name := range cnc.self.Leads {
 		if led, _ := cnc.claims.strongest(name); led != cnc.self.ID {
@@ -246,7 +246,7 @@
 
 // Decide returns the shards to take over, one at most. The next one waits until the others have heard of the first: an instance
 // that took all at once led all of its failure domain and ran out of processor, while one as strong led none.
-func (cnc *Council) Decide(now time.Time) (take []Shard) {
+func (cnc *Elector) Decide(now time.Time) (take []Shard) {
 	for _, shd := range cnc.toDecide(now) {
 		led, _ := cnc.Leader(shd)
 		_, mine := cnc.self.Leads[shd.Name]
@@ -257,16 +257,16 @@
 			cnc.open = append(cnc.open, shd)
 		}
 	}
-	if len(take) > 0 && now.Sub(cnc.tookAt) < cnc.cfg.Patience {
+	if len(take) > 0 && now.Sub(cnc.tookAt) < cnc.cfg.TakeoverDelay {
 		take = nil
 	}
 	return take
 }
 
 // toDecide returns the shards to look at: all after a change, and else those that might change hands by time alone. It empties open.
-func (cnc *Council) toDecide(now time.Time) []Shard {
+func (cnc *Elector) toDecide(now time.Time) []Shard {
 	shs := cnc.shards
-	if !cnc.changed && now.Sub(cnc.lookedAt) < cnc.cfg.Look {
+	if !cnc.changed && now.Sub(cnc.lookedAt) < cnc.cfg.RecheckInterval {
 		shs = cnc.open
 	} else {
 		cnc.changed, cnc.lookedAt = false, now
@@ -276,7 +276,7 @@
 }
 
 // shouldTake reports whether the own instance is the one to take a shard over now.
-func (cnc *Council) shouldTake(now time.Time, shd Shard, led shard.InstanceID) bool {
+func (cnc *Elector) shouldTake(now time.Time, shd Shard, led shard.InstanceID) bool {
 	if !cnc.self.Ready || cnc.self.Leaving || now.Before(cnc.losses[shd.Name].until) {
 		return false
 	}
@@ -286,7 +286,7 @@
 			delete(cnc.vacant, shd.Name)
 			return false
 		}
-	} else if cnc.led[shd.Name] && (now.Sub(cnc.heldUpAt) < cnc.cfg.HeldUp || cnc.mayBeDeaf(now)) {
+	} else if cnc.led[shd.Name] && (now.Sub(cnc.heldUpAt) < cnc.cfg.PauseGrace || cnc.mayBeDeaf(now)) {
 		return false
 	}
 	since, waiting := cnc.vacant[shd.Name]
@@ -294,22 +294,22 @@
 		cnc.vacant[shd.Name] = now
 		since = now
 	}
-	patience := cnc.cfg.Patience
+	patience := cnc.cfg.TakeoverDelay
 	if cnc.self.Domain != shd.Domain {
-		patience = cnc.cfg.Foreign
+		patience = cnc.cfg.ForeignTakeoverDelay
 	}
 	before := cnc.before(shd)
 	if before > 0 && (led != "" || cnc.self.Domain != shd.Domain) {
 		return false
 	}
 	// The candidates before this one may be held up.
-	patience += time.Duration(before) * cnc.cfg.Turn
-	return now.Sub(since) >= patience && now.Sub(cnc.readyAt) >= cnc.cfg.Newcomer && !cnc.mayBeCutOff(now)
+	patience += time.Duration(before) * cnc.cfg.CandidateDelay
+	return now.Sub(since) >= patience && now.Sub(cnc.readyAt) >= cnc.cfg.ReadyDelay && !cnc.mayBeCutOff(now)
 }
 
 // replaceable reports whether a shard's leader should make way: it is leaving, or it stands in another
 // failure domain while an instance of the shard's own has been ready for long enough.
-func (cnc *Council) replaceable(now time.Time, shd Shard, led shard.InstanceID) bool {
+func (cnc *Elector) replaceable(now time.Time, shd Shard, led shard.InstanceID) bool {
 	ins := cnc.others[led]
 	if ins == nil {
 		return false
@@ -317,7 +317,7 @@
 	if ins.Leaving {
 		return true
 	}
-	if cnc.self.Domain != shd.Domain || now.Sub(cnc.readyAt) < cnc.cfg.Return {
+	if cnc.self.Domain != shd.Domain || now.Sub(cnc.readyAt) < cnc.cfg.ReturnDelay {
 		return false
 	}
 	return ins.Domain != shd.Domain || burden(&cnc.self, 1) <= strainRatio*burden(ins, 0)
@@ -329,7 +329,7 @@
 
 // burden returns the shards that an instance leads, with some more, for each core that it has.
 func burden(ins *Instance, more int) float64 {
-	return float64(len(ins.Leads)+more) / max(ins.Processor, leastProcessor)
+	return float64(len(ins.Leads)+more) / max(ins.Cores, leastProcessor)
 }
 
 // leastProcessor keeps the burden finite for an instance that does not say what it has.
@@ -337,7 +337,7 @@
 
 // before returns how many instances are to lead a shard rather than the own one: those of its failure domain go first,
 // then those on which it weighs least, and by hash among equals.
-func (cnc *Council) before(shd Shard) int {
+func (cnc *Elector) before(shd Shard) int {
 	num := 0
 	for _, ins := range cnc.others {
 		if ins.Ready && !ins.Leaving && preferred(ins, &cnc.self, shd) {
--- a/internal/process/succession/succession_test.go
+++ b/internal/process/succession/succession_test.go
@@ -77,13 +77,13 @@
 
 // board is a Council with others that it has heard.
 type board struct {
-	cnc *Council
+	cnc *Elector
 	now time.Time
 }
 
 func newBoard(processor float64) *board {
 	brd := &board{now: time.Unix(1000, 0)}
-	brd.cnc = New(DefaultConfig(), Instance{ID: "self/1", Domain: "a", Processor: processor}, brd.now)
+	brd.cnc = New(DefaultConfig(), Instance{ID: "self/1", Domain: "a", Cores: processor}, brd.now)
 	brd.cnc.SetShards([]Shard{{Name: "a.0", Domain: "a"}, {Name: "b.0", Domain: "b"}})
 	brd.cnc.SetReady(brd.now)
 	return brd
@@ -91,13 +91,13 @@
 
 func (brd *board) hear(id, domain string, processor float64, leaving bool, leads ...shard.Name) {
 	ins := Instance{
-		ID: shard.InstanceID(id), Domain: domain, Processor: processor, Ready: true, Leaving: leaving,
+		ID: shard.InstanceID(id), Domain: domain, Cores: processor, Ready: true, Leaving: leaving,
 		Leads: map[shard.Name]int64{},
 	}
 	for _, name := range leads {
 		ins.Leads[name] = 7
 	}
-	brd.cnc.Heard(ins)
+	brd.cnc.HandleHeartbeat(ins)
 }
 
 // taken returns what the instance takes over within a time.
@@ -107,7 +107,7 @@
 		take := brd.cnc.Decide(brd.now)
 		for _, shd := range take {
 			tkn[shd.Name] = true
-			brd.cnc.Took(brd.now, shd.Name, 9)
+			brd.cnc.HandleTakeover(brd.now, shd.Name, 9)
 		}
 	}
 	return tkn
@@ -158,7 +158,7 @@
 		"all others are lost, so this one is more likely cut off": {
 			story: func(brd *board) {
 				brd.hear("x/1", "a", 0.4, false, "a.0")
-				brd.cnc.Lost(brd.now, "x/1", true)
+				brd.cnc.HandleInstanceLost(brd.now, "x/1", true)
 			},
 		},
 	}
@@ -188,14 +188,14 @@
 			if shd.Name == "a.0" {
 				tries++
 			}
-			brd.cnc.Took(brd.now, shd.Name, 9)
-			brd.cnc.Left(brd.now, shd.Name, true)
+			brd.cnc.HandleTakeover(brd.now, shd.Name, 9)
+			brd.cnc.HandleLeadershipEnd(brd.now, shd.Name, true)
 		}
 	}
 	chk.True(tries >= 4 && tries <= 9)
 }
 
-func TestDutiesHaveAnOrder(t *testing.T) {
+func TestDutyRanksAreDistinct(t *testing.T) {
 	// All instances that hear each other see the same order, so that one does a duty at a time; duties are spread.
 	chk := is.New(t)
 	ids := []shard.InstanceID{"a/1", "b/2", "c/3", "d/4", "e/5"}
@@ -207,10 +207,10 @@
 			cnc := New(DefaultConfig(), Instance{ID: id}, time.Unix(0, 0))
 			for _, oth := range ids {
 				if oth != id {
-					cnc.Heard(Instance{ID: oth})
+					cnc.HandleHeartbeat(Instance{ID: oth})
 				}
 			}
-			rnk := cnc.Rank(duty)
+			rnk := cnc.DutyRank(duty)
 			ranks[rnk] = true
 			if rnk == 0 {
 				firsts[id] = true
@@ -234,7 +234,7 @@
 	take := brd.cnc.Decide(brd.now)
 	chk.True(len(take) <= 1)
 	for _, shd := range take {
-		brd.cnc.Took(brd.now, shd.Name, 9)
+		brd.cnc.HandleTakeover(brd.now, shd.Name, 9)
 	}
 	chk.Equal(len(brd.taken(20*time.Millisecond)), 0)
 }
@@ -250,7 +250,7 @@
 	chk.Equal(dvs["a"], shard.Division{Count: 2, Stamp: 2})
 }
 
-func TestHeldUpInstanceTrustsNothingItMissed(t *testing.T) {
+func TestPausedInstanceIgnoresMissedHeartbeats(t *testing.T) {
 	// A weak machine that has just started is short of processor and misses the leader of its shard, which is fine. It
 	// leaves the shard alone until it has kept up for a while; a shard that never had a leader it takes at once.
 	cases := map[string]struct {
@@ -269,18 +269,18 @@
 			if cse.led {
 				brd.hear("one/2", "a", 0.8, false, "a.0")
 				brd.taken(time.Second)
-				brd.cnc.Lost(brd.now, "one/2", true)
+				brd.cnc.HandleInstanceLost(brd.now, "one/2", true)
 			}
 			brd.hear("two/3", "b", 0.8, false, "b.0")
 			if cse.heldUp {
-				brd.cnc.HeldUp(brd.now)
+				brd.cnc.HandlePause(brd.now)
 			}
 			chk.Equal(brd.taken(400 * time.Millisecond)["a.0"], cse.want)
 		})
 	}
 }
 
-func TestCandidatesFollowInTurn(t *testing.T) {
+func TestCandidatesTakeOverInOrder(t *testing.T) {
 	// The strongest instance of the failure domain does not take a shard that has lost its leader: it is held up. The next
 	// one does after a while.
 	chk := is.New(t)
@@ -290,7 +290,7 @@
 	chk.True(brd.taken(400 * time.Millisecond)["a.0"])
 }
 
-func TestDeafInstanceTrustsNothingItMissed(t *testing.T) {
+func TestOverloadedInstanceIgnoresMissedHeartbeats(t *testing.T) {
 	// A weak instance starts, and its callers' requests leave it too little processor to read what the others send. It misses
 	// most of its failure domain within half a second ("instance lost" "not heard" 13 times), and took all shards over, one
 	// each 30 ms. It waits until it has read on; a rack's loss of power, and that of one leader, are followed at once.
@@ -316,7 +316,7 @@
 			brd.taken(time.Second)
 			for num := range cse.silent {
 				brd.now = brd.now.Add(30 * time.Millisecond)
-				brd.cnc.Lost(brd.now, shard.InstanceID(fmt.Sprint("near-", num, "/1")), true)
+				brd.cnc.HandleInstanceLost(brd.now, shard.InstanceID(fmt.Sprint("near-", num, "/1")), true)
 			}
 			chk.Equal(len(brd.taken(1400*time.Millisecond)) > 0, cse.took)
 			chk.True(len(brd.taken(time.Second)) > 0 || cse.took) // In the end it takes what nobody leads.
--- a/internal/version/domainlist/list.go
+++ b/internal/version/domainlist/list.go
@@ -8,10 +8,10 @@
 // Unread is the end of a View whose instance has read nothing of the log.
 const Unread int64 = -1
 
-// MostUnknown bounds the closed domains that the instance's settings do not name, and MostName the length of a name.
+// MaxUnknownDomains bounds the closed domains that the instance's settings do not name, and MaxNameLength the length of a name.
 const (
-	MostUnknown = 100
-	MostName    = 64
+	MaxUnknownDomains = 100
+	MaxNameLength    = 64
 )
 
 // Record is what the log says of a failure domain at an offset.
@@ -46,31 +46,31 @@
 	return lst
 }
 
-// Known reports whether the list has been read, here or by a peer.
-func (lst *List) Known() bool { return lst.end != Unread }
+// Initialized reports whether the list has been read, here or by a peer.
+func (lst *List) Initialized() bool { return lst.end != Unread }
 
 // Closed reports whether a failure domain is closed to new work.
 func (lst *List) Closed(domain string) bool { return lst.closed[domain] }
 
-// Refused returns how many closings were not believed, for a name that can't be one or because there were too many.
-func (lst *List) Refused() int64 { return lst.refused }
+// RefusedClosings returns how many closings were not believed, for a name that can't be one or because there were too many.
+func (lst *List) RefusedClosings() int64 { return lst.refused }
 
 // View returns what the list knows, for other instances.
 func (lst *List) View() View {
 	return View{End: lst.end, Closed: slices.Sorted(maps.Keys(lst.closed))}
 }
 
-// ReadAll takes in the newest records of all domains, read when the log ended at an offset or later. A domain without a record is open.
+// ApplySnapshot takes in the newest records of all domains, read when the log ended at an offset or later. A domain without a record is open.
 // It reports whether anything has changed.
-func (lst *List) ReadAll(recs []Record, end int64) bool {
+func (lst *List) ApplySnapshot(recs []Record, end int64) bool {
 	if end <= lst.end {
 		return false // A late answer, or one of a replica that lags.
 	}
 	return lst.replace(recs, end)
 }
 
-// Read takes in the records between two offsets of the log and reports whether anything has changed.
-func (lst *List) Read(recs []Record, to int64) bool {
+// ApplyRecords takes in the records between two offsets of the log and reports whether anything has changed.
+func (lst *List) ApplyRecords(recs []Record, to int64) bool {
 	if to <= lst.end {
 		return false
 	}
@@ -129,5 +129,5 @@
 			unknown++
 		}
 	}
-	return domain != "" && len(domain) <= MostName && unknown < MostUnknown
+	return domain != "" && len(domain) <= MaxNameLength && unknown < MaxUnknownDomains
 }
--- a/internal/version/domainlist/list_test.go
+++ b/internal/version/domainlist/list_test.go
@@ -26,65 +26,65 @@
 			want: View{End: -1},
 		},
 		"closed before the instance started": {
-			play: func(lst *List) { lst.ReadAll([]Record{closing(3, "a")}, 9) },
+			play: func(lst *List) { lst.ApplySnapshot([]Record{closing(3, "a")}, 9) },
 			want: View{End: 9, Closed: []string{"a"}},
 		},
 		"closed and opened in one read": {
 			play: func(lst *List) {
-				lst.ReadAll(nil, 3)
-				lst.Read([]Record{closing(3, "a"), opening(4, "a")}, 5)
+				lst.ApplySnapshot(nil, 3)
+				lst.ApplyRecords([]Record{closing(3, "a"), opening(4, "a")}, 5)
 			},
 			want: View{End: 5},
 		},
 		"two at once": {
 			play: func(lst *List) {
-				lst.ReadAll(nil, 3)
-				lst.Read([]Record{closing(3, "a"), closing(4, "b")}, 5)
+				lst.ApplySnapshot(nil, 3)
+				lst.ApplyRecords([]Record{closing(3, "a"), closing(4, "b")}, 5)
 			},
 			want: View{End: 5, Closed: []string{"a", "b"}},
 		},
 		"a late full read does not open what was closed since": {
 			play: func(lst *List) {
-				lst.ReadAll(nil, 3)
-				lst.Read([]Record{closing(3, "a")}, 4)
-				lst.ReadAll(nil, 2)
+				lst.ApplySnapshot(nil, 3)
+				lst.ApplyRecords([]Record{closing(3, "a")}, 4)
+				lst.ApplySnapshot(nil, 2)
 			},
 			want: View{End: 4, Closed: []string{"a"}},
 		},
 		"records that are read again change nothing": {
 			play: func(lst *List) {
-				lst.ReadAll(nil, 0)
-				lst.Read([]Record{closing(0, "a"), opening(1, "a")}, 2)
-				lst.Read([]Record{closing(0, "a")}, 1)
+				lst.ApplySnapshot(nil, 0)
+				lst.ApplyRecords([]Record{closing(0, "a"), opening(1, "a")}, 2)
+				lst.ApplyRecords([]Record{closing(0, "a")}, 1)
 			},
 			want: View{End: 2},
 		},
 		"opened while the history was dropped": {
 			play: func(lst *List) {
-				lst.ReadAll(nil, 0)
-				lst.Read([]Record{closing(0, "a")}, 1)
-				lst.ReadAll(nil, 7)
+				lst.ApplySnapshot(nil, 0)
+				lst.ApplyRecords([]Record{closing(0, "a")}, 1)
+				lst.ApplySnapshot(nil, 7)
 			},
 			want: View{End: 7},
 		},
 		"still closed after the history was dropped": {
 			play: func(lst *List) {
-				lst.ReadAll(nil, 0)
-				lst.Read([]Record{closing(0, "a")}, 1)
-				lst.ReadAll([]Record{closing(0, "a")}, 7)
+				lst.ApplySnapshot(nil, 0)
+				lst.ApplyRecords([]Record{closing(0, "a")}, 1)
+				lst.ApplySnapshot([]Record{closing(0, "a")}, 7)
 			},
 			want: View{End: 7, Closed: []string{"a"}},
 		},
 		"a peer knows more": {
 			play: func(lst *List) {
-				lst.ReadAll([]Record{closing(0, "a")}, 2)
+				lst.ApplySnapshot([]Record{closing(0, "a")}, 2)
 				lst.Merge(View{End: 5, Closed: []string{"b"}})
 			},
 			want: View{End: 5, Closed: []string{"b"}},
 		},
 		"a peer knows less": {
 			play: func(lst *List) {
-				lst.ReadAll([]Record{closing(0, "a")}, 2)
+				lst.ApplySnapshot([]Record{closing(0, "a")}, 2)
 				lst.Merge(View{End: 1})
 				lst.Merge(View{End: -1})
 			},
@@ -92,14 +92,14 @@
 		},
 		"a peer went ahead of the own reading": {
 			play: func(lst *List) {
-				lst.ReadAll(nil, 2)
+				lst.ApplySnapshot(nil, 2)
 				lst.Merge(View{End: 4})
-				lst.Read([]Record{closing(2, "a"), opening(3, "a"), closing(4, "b")}, 5)
+				lst.ApplyRecords([]Record{closing(2, "a"), opening(3, "a"), closing(4, "b")}, 5)
 			},
 			want: View{End: 5, Closed: []string{"b"}},
 		},
 		"no name": {
-			play: func(lst *List) { lst.ReadAll([]Record{closing(0, "")}, 1) },
+			play: func(lst *List) { lst.ApplySnapshot([]Record{closing(0, "")}, 1) },
 			want: View{End: 1},
 		},
 	}
@@ -122,10 +122,10 @@
 	for num := range int64(10_000) {
 		recs = append(recs, closing(num, fmt.Sprint("none-", num)))
 	}
-	lst.ReadAll(append(recs, closing(10_000, "a")), 10_001)
+	lst.ApplySnapshot(append(recs, closing(10_000, "a")), 10_001)
 	chk.True(lst.Closed("a"))
-	chk.Equal(len(lst.View().Closed), MostUnknown+1)
-	chk.Equal(lst.Refused(), int64(10_000-MostUnknown))
+	chk.Equal(len(lst.View().Closed), MaxUnknownDomains+1)
+	chk.Equal(lst.RefusedClosings(), int64(10_000-MaxUnknownDomains))
 }
 
 // Instances read the log in parts, late and again, and take over what others know; each that has come to the end knows what the log says.
@@ -146,19 +146,19 @@
 			case 1:
 				// The answer may be of a replica that lags.
 				end = rapid.Int64Range(0, end).Draw(rpd, "end")
-				lst.ReadAll(newest(log[:end]), end)
+				lst.ApplySnapshot(newest(log[:end]), end)
 				nexts[num] = end
 			case 2:
 				lst.Merge(lsts[rapid.IntRange(0, len(lsts)-1).Draw(rpd, "peer")].View())
 			case 3:
-				if lst.Known() {
-					lst.Read(log[nexts[num]:end], end)
+				if lst.Initialized() {
+					lst.ApplyRecords(log[nexts[num]:end], end)
 					nexts[num] = end
 				}
 			}
 		}
 		for num, lst := range lsts {
-			lst.ReadAll(newest(log), int64(len(log)))
+			lst.ApplySnapshot(newest(log), int64(len(log)))
 			if want := state(log); !maps.Equal(lst.closed, want) {
 				rpd.Fatalf("instance %d knows %v, the log says %v", num, lst.closed, want)
 			}
--- a/internal/version/serverlist/census_test.go
+++ b/internal/version/serverlist/census_test.go
@@ -10,40 +10,40 @@
 // TestFirstReadMayBeShort guards against an instance that takes its first read of the list for all servers, while the entries of some that
 // live have lapsed.
 func TestFirstReadMayBeShort(t *testing.T) {
-	cfg := CensusConfig{Return: 2500 * time.Millisecond, Missing: 30 * time.Second}
+	cfg := CompletenessConfig{RecoveryTime: 2500 * time.Millisecond, MaxUnlisted: 30 * time.Second}
 	began := time.Unix(1000, 0)
 	cases := map[string]struct {
-		story func(cen *Census)
+		story func(cen *Completeness)
 		after time.Duration
 		want  bool
 	}{
-		"never read":                      {story: func(*Census) {}, after: time.Hour},
-		"told before the first read":      {story: func(cen *Census) { cen.Told(began, 90) }, after: time.Second},
-		"read":                            {story: func(cen *Census) { cen.ReadAll(began, 40) }, after: cfg.Return},
-		"read half a minute ago":          {story: func(cen *Census) { cen.ReadAll(began, 40) }, after: cfg.Missing, want: true},
-		"another one knows as much":       {story: func(cen *Census) { cen.ReadAll(began, 40); cen.Told(began, 40) }, want: true},
-		"another one has fallen behind":   {story: func(cen *Census) { cen.ReadAll(began, 40); cen.Told(began, 39) }, after: time.Second},
-		"another one knows none":          {story: func(cen *Census) { cen.ReadAll(began, 40); cen.Told(began, 0) }, after: time.Second},
-		"read again a moment later":       {story: again(time.Second), after: cfg.Return, want: true},
+		"never read":                      {story: func(*Completeness) {}, after: time.Hour},
+		"told before the first read":      {story: func(cen *Completeness) { cen.HandlePeerComplete(began, 90) }, after: time.Second},
+		"read":                            {story: func(cen *Completeness) { cen.HandleFullRead(began, 40) }, after: cfg.RecoveryTime},
+		"read half a minute ago":          {story: func(cen *Completeness) { cen.HandleFullRead(began, 40) }, after: cfg.MaxUnlisted, want: true},
+		"another one knows as much":       {story: func(cen *Completeness) { cen.HandleFullRead(began, 40); cen.HandlePeerComplete(began, 40) }, want: true},
+		"another one has fallen behind":   {story: func(cen *Completeness) { cen.HandleFullRead(began, 40); cen.HandlePeerComplete(began, 39) }, after: time.Second},
+		"another one knows none":          {story: func(cen *Completeness) { cen.HandleFullRead(began, 40); cen.HandlePeerComplete(began, 0) }, after: time.Second},
+		"read again a moment later":       {story: again(time.Second), after: cfg.RecoveryTime, want: true},
 		"read again a moment later, soon": {story: again(time.Second), after: time.Second},
-		"read again after a long outage":  {story: again(10 * time.Second), after: cfg.Return},
+		"read again after a long outage":  {story: again(10 * time.Second), after: cfg.RecoveryTime},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
-			cen := NewCensus(cfg)
+			cen := NewCompleteness(cfg)
 			cse.story(cen)
-			chk.Equal(cen.Whole(began.Add(cse.after)), cse.want)
+			chk.Equal(cen.Complete(began.Add(cse.after)), cse.want)
 		})
 	}
 }
 
 // again reads the list in full a second time, at the time that the test begins.
-func again(pause time.Duration) func(cen *Census) {
-	return func(cen *Census) {
+func again(pause time.Duration) func(cen *Completeness) {
+	return func(cen *Completeness) {
 		began := time.Unix(1000, 0)
-		cen.ReadAll(began.Add(-pause-time.Minute), 40)
-		cen.Read(began.Add(-pause))
-		cen.ReadAll(began, 50)
+		cen.HandleFullRead(began.Add(-pause-time.Minute), 40)
+		cen.HandleRead(began.Add(-pause))
+		cen.HandleFullRead(began, 50)
 	}
 }
--- a/internal/version/serverlist/digest.go
+++ b/internal/version/serverlist/digest.go
@@ -11,8 +11,8 @@
 
 // Digest has the changes among the records of the list from an offset on and before another one.
 type Digest struct {
-	// By is the instance that read the list.
-	By       string
+	// Reader is the instance that read the list.
+	Reader       string
 	From, To int64
 	Changes  []Change
 }
@@ -23,7 +23,7 @@
 // Problem says what is wrong with a digest, or nothing.
 func (dig *Digest) Problem() string {
 	switch {
-	case dig.By == "":
+	case dig.Reader == "":
 		return "it names no reader"
 	case dig.From < 0 || dig.To < dig.From || dig.To-dig.From > mostRecords:
 		return "it covers no part of the list"
@@ -44,7 +44,7 @@
 	rest := *dig
 	for len(rest.Changes) > most {
 		cut := rest.Changes[most].Offset
-		digs = append(digs, Digest{By: dig.By, From: rest.From, To: cut, Changes: rest.Changes[:most]})
+		digs = append(digs, Digest{Reader: dig.Reader, From: rest.From, To: cut, Changes: rest.Changes[:most]})
 		rest.From, rest.Changes = cut, rest.Changes[most:]
 	}
 	return append(digs, rest)
--- a/internal/version/serverlist/follower.go
+++ b/internal/version/serverlist/follower.go
@@ -9,19 +9,19 @@
 type Config struct {
 	// Self is the name under which the instance writes digests.
 	Self string
-	// Patience is how long no digest may come before the list is read here.
-	Patience time.Duration
-	// Turn is how much longer than the one before it each further instance waits before it writes digests for the others.
-	Turn time.Duration
-	// Pause is the longest time between two digests, also if nothing has changed.
-	Pause time.Duration
+	// DigestTimeout is how long no digest may come before the list is read here.
+	DigestTimeout time.Duration
+	// SubstituteDelay is how much longer than the one before it each further instance waits before it writes digests for the others.
+	SubstituteDelay time.Duration
+	// IdleInterval is the longest time between two digests, also if nothing has changed.
+	IdleInterval time.Duration
 }
 
 // DefaultConfig returns times with which a server that is leaving is known everywhere within two seconds, also if the instance that
 // reads the list is lost: the patience and a read of the list.
 func DefaultConfig(self string) Config {
 	return Config{
-		Self: self, Patience: 1200 * time.Millisecond, Turn: 400 * time.Millisecond, Pause: 700 * time.Millisecond,
+		Self: self, DigestTimeout: 1200 * time.Millisecond, SubstituteDelay: 400 * time.Millisecond, IdleInterval: 700 * time.Millisecond,
 	}
 }
 
@@ -55,19 +55,19 @@
 	return &Follower{cfg: cfg, next: unknown, covered: unknown, digestAt: now}
 }
 
-// Next returns the offset from which on the list is to be read, negative for all of it.
-func (fol *Follower) Next() int64 { return fol.next }
+// NextOffset returns the offset from which on the list is to be read, negative for all of it.
+func (fol *Follower) NextOffset() int64 { return fol.next }
 
-// Forget notes that the list has to be read in full.
-func (fol *Follower) Forget() { fol.ReadAll(unknown) }
+// Reset notes that the list has to be read in full.
+func (fol *Follower) Reset() { fol.HandleFullRead(unknown) }
 
-// ReadAll notes a full read, after which the list goes on at an offset.
-func (fol *Follower) ReadAll(next int64) {
+// HandleFullRead notes a full read, after which the list goes on at an offset.
+func (fol *Follower) HandleFullRead(next int64) {
 	fol.next, fol.covered, fol.changes, fol.digested = next, unknown, nil, 0
 }
 
-// Read notes a read of the list from one offset to another and returns how many of its records were known before.
-func (fol *Follower) Read(from, to int64) (known int) {
+// HandleRead notes a read of the list from one offset to another and returns how many of its records were known before.
+func (fol *Follower) HandleRead(from, to int64) (known int) {
 	known = int(min(max(0, fol.next-from), to-from))
 	fol.prior = fol.next
 	fol.next = max(fol.next, to)
@@ -77,16 +77,16 @@
 	return known
 }
 
-// Changed notes a record that was just read and changed what was known of its server.
-func (fol *Follower) Changed(chg Change) {
+// HandleChange notes a record that was just read and changed what was known of its server.
+func (fol *Follower) HandleChange(chg Change) {
 	if fol.covered != unknown && chg.Offset >= fol.covered {
 		fol.changes = append(fol.changes, chg)
 	}
 }
 
-// Take takes a digest in and returns what it changes; it reports whether the digest goes on where the knowledge of the list ends. If
+// HandleDigest takes a digest in and returns what it changes; it reports whether the digest goes on where the knowledge of the list ends. If
 // it doesn't, a digest is missing, and the list is to be read.
-func (fol *Follower) Take(now time.Time, dig *Digest) (chgs []Change, ok bool) {
+func (fol *Follower) HandleDigest(now time.Time, dig *Digest) (chgs []Change, ok bool) {
 	if fol.next == unknown || dig.From > fol.next {
 		return nil, false
 	}
@@ -115,31 +115,31 @@
 // noteDigest notes that another instance reads the list and keeps up with it: one that reads at the same time as this instance brings
 // nothing new, and would be read beside for ever.
 func (fol *Follower) noteDigest(now time.Time, dig *Digest) {
-	if dig.By != fol.cfg.Self && dig.To > fol.digested && dig.To >= fol.prior {
+	if dig.Reader != fol.cfg.Self && dig.To > fol.digested && dig.To >= fol.prior {
 		fol.digestAt, fol.digested = now, dig.To
 	}
 }
 
 // ReadDue reports whether the instance is to read the list itself; before is how many instances are to do so rather than it.
 func (fol *Follower) ReadDue(now time.Time, before int) bool {
-	return before == 0 || fol.next == unknown || now.Sub(fol.digestAt) > fol.cfg.Patience
+	return before == 0 || fol.next == unknown || now.Sub(fol.digestAt) > fol.cfg.DigestTimeout
 }
 
-// Publish returns the digests that the instance is to write now.
-func (fol *Follower) Publish(now time.Time, before int) []Digest {
-	late := now.Sub(fol.digestAt) - fol.cfg.Patience - time.Duration(before)*fol.cfg.Turn
+// PendingDigests returns the digests that the instance is to write now.
+func (fol *Follower) PendingDigests(now time.Time, before int) []Digest {
+	late := now.Sub(fol.digestAt) - fol.cfg.DigestTimeout - time.Duration(before)*fol.cfg.SubstituteDelay
 	if before > 0 && (before > substitutes || late <= 0) || fol.covered == unknown || fol.covered == fol.next {
 		return nil
 	}
-	if len(fol.changes) == 0 && now.Sub(fol.publishedAt) < fol.cfg.Pause {
+	if len(fol.changes) == 0 && now.Sub(fol.publishedAt) < fol.cfg.IdleInterval {
 		return nil
 	}
-	dig := Digest{By: fol.cfg.Self, From: fol.covered, To: fol.next, Changes: slices.Clone(fol.changes)}
+	dig := Digest{Reader: fol.cfg.Self, From: fol.covered, To: fol.next, Changes: slices.Clone(fol.changes)}
 	return dig.split(mostChanges)
 }
 
-// Published notes that a digest was written. One without an answer may be written again.
-func (fol *Follower) Published(now time.Time, dig *Digest) {
+// HandlePublished notes that a digest was written. One without an answer may be written again.
+func (fol *Follower) HandlePublished(now time.Time, dig *Digest) {
 	fol.publishedAt = now
 	fol.cover(dig.To)
 }
--- a/internal/version/serverlist/follower_test.go
+++ b/internal/version/serverlist/follower_test.go
@@ -22,21 +22,21 @@
 		ok      bool
 		next    int64
 	}{
-		"goes on where the knowledge ends":      {Digest{By: "one", From: 10, To: 14, Changes: []Change{{12, "s", nil}}}, 1, true, 14},
-		"is known already":                      {Digest{By: "one", From: 4, To: 8, Changes: []Change{{5, "s", nil}}}, 0, true, 10},
-		"is known in part":                      {Digest{By: "one", From: 4, To: 12, Changes: []Change{{5, "s", nil}, {11, "s", nil}}}, 1, true, 12},
-		"one before it is missing":              {Digest{By: "one", From: 11, To: 12}, 0, false, 10},
-		"an older one comes late, with changes": {Digest{By: "one", From: 0, To: 10, Changes: []Change{{9, "s", nil}}}, 0, true, 10},
+		"goes on where the knowledge ends":      {Digest{Reader: "one", From: 10, To: 14, Changes: []Change{{12, "s", nil}}}, 1, true, 14},
+		"is known already":                      {Digest{Reader: "one", From: 4, To: 8, Changes: []Change{{5, "s", nil}}}, 0, true, 10},
+		"is known in part":                      {Digest{Reader: "one", From: 4, To: 12, Changes: []Change{{5, "s", nil}, {11, "s", nil}}}, 1, true, 12},
+		"one before it is missing":              {Digest{Reader: "one", From: 11, To: 12}, 0, false, 10},
+		"an older one comes late, with changes": {Digest{Reader: "one", From: 0, To: 10, Changes: []Change{{9, "s", nil}}}, 0, true, 10},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
 			fol := newTestFollower()
-			fol.ReadAll(10)
-			chgs, ok := fol.Take(began, &cse.dig)
+			fol.HandleFullRead(10)
+			chgs, ok := fol.HandleDigest(began, &cse.dig)
 			chk.Equal(ok, cse.ok)
 			chk.Equal(len(chgs), cse.changes)
-			chk.Equal(fol.Next(), cse.next)
+			chk.Equal(fol.NextOffset(), cse.next)
 		})
 	}
 }
@@ -58,13 +58,13 @@
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
 			fol := newTestFollower()
-			fol.ReadAll(10)
-			fol.Read(10, 12)
-			fol.Read(12, 14)
-			fol.Changed(Change{Offset: 13, Key: "s"})
+			fol.HandleFullRead(10)
+			fol.HandleRead(10, 12)
+			fol.HandleRead(12, 14)
+			fol.HandleChange(Change{Offset: 13, Key: "s"})
 			now := began.Add(cse.quiet)
 			chk.Equal(fol.ReadDue(now, cse.before), cse.reads)
-			chk.Equal(len(fol.Publish(now, cse.before)), cse.digests)
+			chk.Equal(len(fol.PendingDigests(now, cse.before)), cse.digests)
 		})
 	}
 }
@@ -73,19 +73,19 @@
 func TestReaderThatKeepsUpIsRelieved(t *testing.T) {
 	chk := is.New(t)
 	fol := newTestFollower()
-	fol.ReadAll(10)
+	fol.HandleFullRead(10)
 	now := began.Add(time.Minute)
 	for from := int64(10); from < 20; from += 2 {
 		chk.True(fol.ReadDue(now, 1) == (from == 10))
-		fol.Read(from, from+2)
-		fol.Take(now, &Digest{By: "first", From: from, To: from + 2})
+		fol.HandleRead(from, from+2)
+		fol.HandleDigest(now, &Digest{Reader: "first", From: from, To: from + 2})
 		now = now.Add(400 * time.Millisecond)
 	}
 	// One that falls behind relieves nobody.
-	fol.Read(20, 40)
-	fol.Read(40, 60)
+	fol.HandleRead(20, 40)
+	fol.HandleRead(40, 60)
 	now = now.Add(time.Minute)
-	fol.Take(now, &Digest{By: "first", From: 20, To: 30})
+	fol.HandleDigest(now, &Digest{Reader: "first", From: 20, To: 30})
 	chk.True(fol.ReadDue(now, 1))
 }
 
@@ -93,11 +93,11 @@
 func TestFirstReadAfterAFullOneIsNotPassedOn(t *testing.T) {
 	chk := is.New(t)
 	fol := newTestFollower()
-	fol.ReadAll(10)
-	fol.Read(10, 20)
-	chk.Equal(len(fol.Publish(began, 0)), 0)
-	fol.Read(20, 21)
-	digs := fol.Publish(began, 0)
+	fol.HandleFullRead(10)
+	fol.HandleRead(10, 20)
+	chk.Equal(len(fol.PendingDigests(began, 0)), 0)
+	fol.HandleRead(20, 21)
+	digs := fol.PendingDigests(began, 0)
 	chk.Equal(len(digs), 1)
 	chk.Equal(digs[0].From, int64(20))
 }
@@ -106,36 +106,36 @@
 func TestDigestThatIsNotWritten(t *testing.T) {
 	chk := is.New(t)
 	fol := newTestFollower()
-	fol.ReadAll(10)
-	fol.Read(10, 11)
-	fol.Read(11, 13)
-	fol.Changed(Change{Offset: 12, Key: "one"})
-	chk.Equal(len(fol.Publish(began, 0)), 1)
-	fol.Read(13, 15)
-	fol.Changed(Change{Offset: 14, Key: "two"})
-	digs := fol.Publish(began, 0)
+	fol.HandleFullRead(10)
+	fol.HandleRead(10, 11)
+	fol.HandleRead(11, 13)
+	fol.HandleChange(Change{Offset: 12, Key: "one"})
+	chk.Equal(len(fol.PendingDigests(began, 0)), 1)
+	fol.HandleRead(13, 15)
+	fol.HandleChange(Change{Offset: 14, Key: "two"})
+	digs := fol.PendingDigests(began, 0)
 	chk.Equal(digs[0].From, int64(11))
 	chk.Equal(len(digs[0].Changes), 2)
-	fol.Published(began, &digs[0])
-	chk.Equal(len(fol.Publish(began, 0)), 0)
+	fol.HandlePublished(began, &digs[0])
+	chk.Equal(len(fol.PendingDigests(began, 0)), 0)
 }
 
 // Digests that are still to be written lose their changes when the first one is.
 func TestManyChangesGoIntoSeveralDigests(t *testing.T) {
 	chk := is.New(t)
 	fol := newTestFollower()
-	fol.ReadAll(0)
-	fol.Read(0, 0)
-	fol.Read(0, 1000)
+	fol.HandleFullRead(0)
+	fol.HandleRead(0, 0)
+	fol.HandleRead(0, 1000)
 	for num := range int64(1000) {
-		fol.Changed(Change{Offset: num, Key: fmt.Sprint("server-", num)})
+		fol.HandleChange(Change{Offset: num, Key: fmt.Sprint("server-", num)})
 	}
 	all := 0
-	for _, dig := range fol.Publish(began, 0) {
+	for _, dig := range fol.PendingDigests(began, 0) {
 		chk.Equal(dig.Problem(), "")
 		chk.Equal(dig.From, int64(all))
 		all += len(dig.Changes)
-		fol.Published(began, &dig)
+		fol.HandlePublished(began, &dig)
 	}
 	chk.Equal(all, 1000)
 }
@@ -145,17 +145,17 @@
 		dig  Digest
 		fine bool
 	}{
-		"nothing has changed":      {Digest{By: "one", From: 3, To: 9}, true},
-		"changes in order":         {Digest{By: "one", From: 3, To: 9, Changes: []Change{{3, "a", nil}, {8, "b", nil}}}, true},
+		"nothing has changed":      {Digest{Reader: "one", From: 3, To: 9}, true},
+		"changes in order":         {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{3, "a", nil}, {8, "b", nil}}}, true},
 		"by nobody":                {Digest{From: 3, To: 9}, false},
-		"goes back":                {Digest{By: "one", From: 9, To: 3}, false},
-		"negative":                 {Digest{By: "one", From: -1, To: 3}, false},
-		"jumps far ahead":          {Digest{By: "one", From: 3, To: 1 << 60}, false},
-		"a change from before it":  {Digest{By: "one", From: 3, To: 9, Changes: []Change{{2, "a", nil}}}, false},
-		"a change from after it":   {Digest{By: "one", From: 3, To: 9, Changes: []Change{{9, "a", nil}}}, false},
-		"changes out of order":     {Digest{By: "one", From: 3, To: 9, Changes: []Change{{5, "a", nil}, {4, "b", nil}}}, false},
-		"a change without a name":  {Digest{By: "one", From: 3, To: 9, Changes: []Change{{5, "", nil}}}, false},
-		"two changes at one place": {Digest{By: "one", From: 3, To: 9, Changes: []Change{{5, "a", nil}, {5, "b", nil}}}, false},
+		"goes back":                {Digest{Reader: "one", From: 9, To: 3}, false},
+		"negative":                 {Digest{Reader: "one", From: -1, To: 3}, false},
+		"jumps far ahead":          {Digest{Reader: "one", From: 3, To: 1 << 60}, false},
+		"a change from before it":  {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{2, "a", nil}}}, false},
+		"a change from after it":   {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{9, "a", nil}}}, false},
+		"changes out of order":     {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{5, "a", nil}, {4, "b", nil}}}, false},
+		"a change without a name":  {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{5, "", nil}}}, false},
+		"two changes at one place": {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{5, "a", nil}, {5, "b", nil}}}, false},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(cse.dig.Problem() == "", cse.fine) })
@@ -183,17 +183,17 @@
 
 func (pol *pool) read(num int) {
 	fol := pol.fols[num]
-	from, end := fol.Next(), int64(len(pol.log))
+	from, end := fol.NextOffset(), int64(len(pol.log))
 	if from < 0 {
 		// The pages are of different times: what is read is newer than the place that is told.
 		pol.known[num] = state(pol.log)
-		fol.ReadAll(max(0, end-2))
+		fol.HandleFullRead(max(0, end-2))
 		return
 	}
-	known := fol.Read(from, end)
+	known := fol.HandleRead(from, end)
 	for idx := from + int64(known); idx < end; idx++ {
 		if pol.apply(num, &pol.log[idx]) {
-			fol.Changed(pol.log[idx])
+			fol.HandleChange(pol.log[idx])
 		}
 	}
 }
@@ -228,7 +228,7 @@
 		}
 		end := int64(len(pol.log))
 		for num, fol := range pol.fols {
-			for fol.Next() < end {
+			for fol.NextOffset() < end {
 				pol.read(num)
 			}
 			if !maps.Equal(pol.known[num], state(pol.log)) {
@@ -251,10 +251,10 @@
 	case 2:
 		pol.read(num)
 	case 3:
-		for _, dig := range fol.Publish(now, rnd.IntN(3)) {
+		for _, dig := range fol.PendingDigests(now, rnd.IntN(3)) {
 			pol.digests = append(pol.digests, dig)
 			if rnd.IntN(4) > 0 { // Else the answer is lost.
-				fol.Published(now, &dig)
+				fol.HandlePublished(now, &dig)
 			}
 		}
 	case 4:
@@ -264,7 +264,7 @@
 
 func (pol *pool) take(num int, now time.Time, rnd *rand.Rand) {
 	if rnd.IntN(20) == 0 {
-		pol.fols[num].Forget()
+		pol.fols[num].Reset()
 		return
 	}
 	if pol.taken[num] >= len(pol.digests) {
@@ -272,7 +272,7 @@
 	}
 	dig := pol.digests[pol.taken[num]]
 	pol.taken[num]++
-	chgs, _ := pol.fols[num].Take(now, &dig)
+	chgs, _ := pol.fols[num].HandleDigest(now, &dig)
 	for idx := range chgs {
 		pol.apply(num, &chgs[idx])
 	}
