--- a/internal/process/succession/claims.go
+++ b/internal/process/succession/claims.go
@@ -2,10 +2,10 @@
 
 import "chestnutstack/internal/request/shard"
 
-// claims has the fencing tokens with which instances lead shards, by shard: who leads one is asked for all of them on each tick.
+// claims has the fencing tokens with which instances lead shards. It is indexed by shard, as each tick looks up the leader of each shard.
 type claims map[shard.Name]map[shard.InstanceID]int64
 
-// set replaces what an instance claims.
+// set replaces an instance's claims of before (was) by its present ones (now).
 func (clm claims) set(id shard.InstanceID, was, now map[shard.Name]int64) {
 	for name := range was {
 		if _, still := now[name]; !still {
@@ -31,10 +31,9 @@
 	}
 }
 
-// strongest returns who claims a shard with the newest token; nobody is "". Servers obey the newest token that has reached
-// them, so that a leader with an older one holds them no more: an owner that followed it would be told that its tasks run
-// nowhere.
-func (clm claims) strongest(name shard.Name) (id shard.InstanceID, token int64) {
+// newest returns the instance that claims a shard with the highest token, or "" if none does. Backend servers obey only the highest token
+// that has reached them: a leader with a lower one can't renew its leases, and would tell owners that their tasks run nowhere.
+func (clm claims) newest(name shard.Name) (id shard.InstanceID, token int64) {
 	for oth, tok := range clm[name] {
 		if id == "" || tok > token || tok == token && oth < id {
 			id, token = oth, tok
--- a/internal/process/succession/doc.go
+++ b/internal/process/succession/doc.go
@@ -1,4 +1,4 @@
-// Package succession decides which entry instance leads which shard of the pool. It is pure: what is heard
-// of the other instances comes in, what to take over or to leave goes out. Two instances may decide
-// differently for a while; the fencing tokens keep that harmless.
+// Package succession decides which instance leads which shard of the backend servers. It is pure: heartbeats and losses of other
+// instances come in, shards to take over or to give up go out. Two instances may decide differently for a while; fencing tokens make that
+// harmless.
 package succession
--- a/internal/process/succession/explore_list_test.go
+++ b/internal/process/succession/explore_list_test.go
@@ -57,7 +57,7 @@
 			delete(nod.missing, srv.id)
 		}
 	}
-	nod.cnc.SetShards(SortedShards(nod.shards()))
+	nod.elc.SetShards(SortedShards(nod.shards()))
 	nod.leadersChanged = true
 	nod.tellServers(now)
 }
--- a/internal/process/succession/explore_node_test.go
+++ b/internal/process/succession/explore_node_test.go
@@ -27,7 +27,7 @@
 	// checked is when silence was last looked for.
 	tickedAt, checked, sharedAt, openAt time.Time
 	round                               int64
-	cnc                                 *Elector
+	elc                                 *Elector
 	dsk                                 *submission.Desk
 	ldrs                                map[shard.Name]*shard.Leader
 	upl                                 *shard.Uplink
@@ -88,7 +88,7 @@
 	nod.dsk = submission.NewDesk(submission.Config{
 		Self: nod.id, Domain: domain, Proof: proof, RetryAfter: time.Second, Vacancy: 1500 * time.Millisecond, Link: nod.upl,
 	}, ply.now)
-	nod.cnc = New(DefaultConfig(), Instance{ID: nod.id, Domain: domain, Cores: 0.4}, ply.now)
+	nod.elc = New(DefaultConfig(), Instance{ID: nod.id, Domain: domain, Cores: 0.4}, ply.now)
 	for _, oth := range ply.names {
 		if oth != name {
 			nod.sessions[oth] = &session{nod: nod, peer: oth, own: fakeEpoch{life: nod.life}, interval: fakeBeatInterval}
@@ -116,7 +116,7 @@
 
 func (nod *node) beat() fakeBeat {
 	bet := fakeBeat{round: nod.round, listedTo: nod.wholeTo(), loads: map[shard.Name]shard.Load{}, ins: Instance{
-		ID: nod.id, Domain: nod.domain, Cores: 0.4, Ready: nod.cnc.Ready(), Leaving: nod.leaving, Leads: map[shard.Name]int64{},
+		ID: nod.id, Domain: nod.domain, Cores: 0.4, Ready: nod.elc.Ready(), Leaving: nod.leaving, Leads: map[shard.Name]int64{},
 	}}
 	for _, name := range sortedKeys(nod.ldrs) {
 		bet.ins.Leads[name] = nod.ldrs[name].Token()
@@ -140,7 +140,7 @@
 		}
 		nod.round = max(nod.round, bet.round)
 		nod.census.HandlePeerComplete(now, bet.listedTo)
-		if _, changed := nod.cnc.HandleHeartbeat(bet.ins); changed {
+		if _, changed := nod.elc.HandleHeartbeat(bet.ins); changed {
 			nod.leaveWeaker()
 			nod.updateLeaders()
 			nod.updatePaces()
@@ -173,7 +173,7 @@
 func (nod *node) lost(id shard.InstanceID, silent bool) {
 	nod.ply.note("%s loses %s", nod.id, id)
 	nod.run(func(now time.Time) {
-		nod.cnc.HandleInstanceLost(now, id, silent)
+		nod.elc.HandleInstanceLost(now, id, silent)
 		for _, name := range sortedKeys(nod.ldrs) {
 			nod.shardDo(name, nod.ldrs[name].OwnerLost(now, id))
 		}
@@ -250,11 +250,11 @@
 
 func (nod *node) tick(now time.Time) {
 	if now.Sub(nod.tickedAt) > 60*time.Millisecond {
-		nod.cnc.HandlePause(now)
+		nod.elc.HandlePause(now)
 	}
 	nod.tickedAt = now
-	if len(nod.entries) > 0 && !nod.leaving && !nod.cnc.Ready() {
-		nod.cnc.SetReady(now)
+	if len(nod.entries) > 0 && !nod.leaving && !nod.elc.Ready() {
+		nod.elc.SetReady(now)
 		nod.nudge()
 	}
 	nod.leaveWeaker()
@@ -263,7 +263,7 @@
 			nod.abandon(shd.Name, false)
 		}
 	}
-	for _, shd := range nod.cnc.Decide(now) {
+	for _, shd := range nod.elc.Decide(now) {
 		if shd.Domain == nod.domain || nod.reachable(now, shd) {
 			nod.takeOver(now, shd.Name)
 		}
@@ -325,7 +325,7 @@
 	nod.ply.note("%s takes %s over with %d", nod.id, name, tok)
 	ldr := shard.NewLeader(shard.DefaultConfig(), nod.upl, name, tok, now)
 	nod.ldrs[name] = ldr
-	nod.cnc.HandleTakeover(now, name, tok)
+	nod.elc.HandleTakeover(now, name, tok)
 	nod.leadersChanged = true
 	nod.tellServers(now)
 	nod.nudge()
@@ -340,12 +340,12 @@
 	nod.ply.note("%s leaves %s, fenced %t", nod.id, name, fenced)
 	delete(nod.ldrs, name)
 	nod.shardDo(name, ldr.Resign())
-	nod.cnc.HandleLeadershipEnd(nod.ply.now, name, fenced)
+	nod.elc.HandleLeadershipEnd(nod.ply.now, name, fenced)
 	nod.leadersChanged = true
 }
 
 func (nod *node) leaveWeaker() {
-	for _, name := range nod.cnc.Superseded() {
+	for _, name := range nod.elc.Superseded() {
 		nod.abandon(name, false)
 	}
 	nod.carryOut()
@@ -353,7 +353,7 @@
 
 func (nod *node) updateLeaders() {
 	for _, shd := range SortedShards(nod.shards()) {
-		led, tok := nod.cnc.Leader(shd)
+		led, tok := nod.elc.Leader(shd)
 		nod.deskDo(nod.dsk.SetLeader(submission.Target{Shard: shd.Name, Leader: led, Token: tok}, shd.Domain))
 	}
 }
--- a/internal/process/succession/explore_trouble_test.go
+++ b/internal/process/succession/explore_trouble_test.go
@@ -65,7 +65,7 @@
 func (ply *play) force() {
 	nod := ply.anyNode()
 	shds := SortedShards(nod.shards())
-	if nod.dead || nod.leaving || len(shds) == 0 || !nod.cnc.Ready() {
+	if nod.dead || nod.leaving || len(shds) == 0 || !nod.elc.Ready() {
 		return
 	}
 	shd := shds[ply.rnd.IntN(len(shds))]
@@ -129,7 +129,7 @@
 	if how == 2 {
 		ply.note("%s stops", nod.id)
 		nod.leaving = true
-		nod.cnc.SetLeaving()
+		nod.elc.SetLeaving()
 		nod.nudge()
 	}
 	finish := func() {
--- a/internal/process/succession/reach_test.go
+++ b/internal/process/succession/reachability_test.go
@@ -17,7 +17,7 @@
 	answers := func(num int) []asking {
 		asks := make([]asking, num)
 		for idx := range asks {
-			asks[idx] = asking{after: reachFor / 2, answered: true}
+			asks[idx] = asking{after: minAnswering / 2, answered: true}
 		}
 		return asks
 	}
@@ -28,15 +28,15 @@
 		want bool
 	}{
 		"never asked":                          {},
-		"one answer":                           {asks: answers(1), rest: reachFor / 2},
-		"answers for long enough":              {asks: answers(3), rest: reachFor / 2, want: true},
+		"one answer":                           {asks: answers(1), rest: minAnswering / 2},
+		"answers for long enough":              {asks: answers(3), rest: minAnswering / 2, want: true},
 		"answers until half a minute ago":      {asks: answers(3), rest: 30 * time.Second},
 		"one answer half a minute ago":         {asks: answers(1), rest: 30 * time.Second},
 		"one answer again after half a minute": {asks: append(answers(3), asking{after: 30 * time.Second, answered: true}), rest: way},
 		"answers again after half a minute": {
 			asks: append(append(answers(1), asking{after: 30 * time.Second, answered: true}), answers(2)...), rest: way, want: true,
 		},
-		"the last one is missing": {asks: append(answers(3), asking{after: reachFor / 2}), rest: way},
+		"the last one is missing": {asks: append(answers(3), asking{after: minAnswering / 2}), rest: way},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/process/succession/ring.go
+++ b/internal/process/succession/ring.go
@@ -9,38 +9,39 @@
 	"chestnutstack/internal/request/shard"
 )
 
-// ringReach is how many instances on either side of a ring an instance watches. One that loses power together with those that watch it
-// is missed by the calls of the others of its failure domain, of which one comes each few dozen milliseconds.
-const ringReach = 1
+// watchersPerSide is how many instances on either side of the ring an instance watches. The loss of one together with its watchers is
+// noticed by the heartbeats of the rest of its failure domain, of which one is due each few dozen milliseconds.
+const watchersPerSide = 1
 
-// Neighbours returns the instances of the own failure domain that this one watches, and that watch it: those next to it on a
-// ring by hash. All instances that hear the same others see the same ring.
-func (cnc *Elector) Neighbours() map[shard.InstanceID]bool {
+// Neighbours returns the instances of the own failure domain that this one watches and that watch it: those next to it on the hash ring.
+// All instances that hear the same others compute the same ring.
+func (elc *Elector) Neighbours() map[shard.InstanceID]bool {
 	near := map[shard.InstanceID]bool{}
-	for _, id := range cnc.around(cnc.self.ID) {
+	for _, id := range elc.ringNeighbours(elc.self.ID) {
 		near[id] = true
 	}
 	return near
 }
 
-// NotifyRank returns how many instances go before the own one in telling another what it lacks: its neighbours are the first.
-func (cnc *Elector) NotifyRank(to shard.InstanceID) int {
-	if ins := cnc.others[to]; ins != nil && ins.Domain == cnc.self.Domain {
-		if idx := slices.Index(cnc.around(to), cnc.self.ID); idx >= 0 {
+// NotifyRank returns how many instances precede the own one in sending another instance the news that it lacks; the receiver's
+// neighbours come first.
+func (elc *Elector) NotifyRank(to shard.InstanceID) int {
+	if ins := elc.peers[to]; ins != nil && ins.Domain == elc.self.Domain {
+		if idx := slices.Index(elc.ringNeighbours(to), elc.self.ID); idx >= 0 {
 			return idx
 		}
 	}
-	return 1 + cnc.DutyRank(string(to))
+	return 1 + elc.DutyRank(string(to))
 }
 
-// around returns the neighbours of an instance of the own failure domain, the nearest first.
-func (cnc *Elector) around(id shard.InstanceID) []shard.InstanceID {
-	rng := cnc.ring()
+// ringNeighbours returns the neighbours of an instance of the own failure domain, the nearest first.
+func (elc *Elector) ringNeighbours(id shard.InstanceID) []shard.InstanceID {
+	rng := elc.ring()
 	at := slices.Index(rng, id)
 	var near []shard.InstanceID
-	for step := 1; step <= ringReach; step++ {
+	for step := 1; step <= watchersPerSide; step++ {
 		for _, idx := range []int{at + step, at - step} {
-			oth := rng[(idx+ringReach*len(rng))%len(rng)]
+			oth := rng[(idx+watchersPerSide*len(rng))%len(rng)]
 			if oth != id && !slices.Contains(near, oth) {
 				near = append(near, oth)
 			}
@@ -49,15 +50,15 @@
 	return near
 }
 
-// ring returns the instances of the own failure domain in the order of their hashes.
-func (cnc *Elector) ring() []shard.InstanceID {
+// ring returns the instances of the own failure domain, the own one included, in the order of the hashes of their IDs.
+func (elc *Elector) ring() []shard.InstanceID {
 	type place struct {
 		id   shard.InstanceID
 		hash uint64
 	}
-	plcs := []place{{cnc.self.ID, xxhash.Sum64String(string(cnc.self.ID))}}
-	for id, ins := range cnc.others {
-		if ins.Domain == cnc.self.Domain {
+	plcs := []place{{elc.self.ID, xxhash.Sum64String(string(elc.self.ID))}}
+	for id, ins := range elc.peers {
+		if ins.Domain == elc.self.Domain {
 			plcs = append(plcs, place{id, xxhash.Sum64String(string(id))})
 		}
 	}
@@ -71,11 +72,11 @@
 	return rng
 }
 
-// DomainPeerCount returns how many of the others stand in the own failure domain.
-func (cnc *Elector) DomainPeerCount() int {
+// DomainPeerCount returns how many other instances of the own failure domain are heard.
+func (elc *Elector) DomainPeerCount() int {
 	num := 0
-	for _, ins := range cnc.others {
-		if ins.Domain == cnc.self.Domain {
+	for _, ins := range elc.peers {
+		if ins.Domain == elc.self.Domain {
 			num++
 		}
 	}
--- a/internal/process/succession/ring_test.go
+++ b/internal/process/succession/ring_test.go
@@ -12,18 +12,18 @@
 
 // ringOf returns the councils of all instances of a failure domain that hear each other and one of another domain.
 func ringOf(num int) map[shard.InstanceID]*Elector {
-	cncs := map[shard.InstanceID]*Elector{}
+	elcs := map[shard.InstanceID]*Elector{}
 	for idx := range num {
 		id := shard.InstanceID(fmt.Sprint("near-", idx, "/1"))
-		cncs[id] = New(DefaultConfig(), Instance{ID: id, Domain: "a"}, time.Unix(1000, 0))
+		elcs[id] = New(DefaultConfig(), Instance{ID: id, Domain: "a"}, time.Unix(1000, 0))
 		for oth := range num {
 			if oth != idx {
-				cncs[id].HandleHeartbeat(Instance{ID: shard.InstanceID(fmt.Sprint("near-", oth, "/1")), Domain: "a"})
+				elcs[id].HandleHeartbeat(Instance{ID: shard.InstanceID(fmt.Sprint("near-", oth, "/1")), Domain: "a"})
 			}
 		}
-		cncs[id].HandleHeartbeat(Instance{ID: "far/1", Domain: "b"})
+		elcs[id].HandleHeartbeat(Instance{ID: "far/1", Domain: "b"})
 	}
-	return cncs
+	return elcs
 }
 
 // An instance that nobody watches is missed late, and one that watches all has no time for its callers.
@@ -31,12 +31,12 @@
 	for _, num := range []int{1, 2, 3, 4, 5, 6, 30} {
 		t.Run(fmt.Sprint(num), func(t *testing.T) {
 			chk := is.New(t)
-			cncs := ringOf(num)
-			for id, cnc := range cncs {
-				near := cnc.Neighbours()
-				chk.Equal(len(near), min(2*ringReach, num-1))
+			elcs := ringOf(num)
+			for id, elc := range elcs {
+				near := elc.Neighbours()
+				chk.Equal(len(near), min(2*watchersPerSide, num-1))
 				for oth := range near {
-					chk.True(cncs[oth].Neighbours()[id])
+					chk.True(elcs[oth].Neighbours()[id])
 				}
 			}
 		})
@@ -46,16 +46,16 @@
 // An instance that the store turns away waits for a configuration from one that hears it every few seconds only.
 func TestNeighboursNotifyFirst(t *testing.T) {
 	chk := is.New(t)
-	cncs := ringOf(30)
+	elcs := ringOf(30)
 	const to = shard.InstanceID("near-7/1")
 	turns := map[int]int{}
-	for id, cnc := range cncs {
+	for id, elc := range elcs {
 		if id == to {
 			continue
 		}
-		turns[cnc.NotifyRank(to)]++
-		if cnc.Neighbours()[to] {
-			chk.True(cnc.NotifyRank(to) < 2*ringReach)
+		turns[elc.NotifyRank(to)]++
+		if elc.Neighbours()[to] {
+			chk.True(elc.NotifyRank(to) < 2*watchersPerSide)
 		}
 	}
 	chk.Equal(turns[0], 1)
@@ -71,14 +71,14 @@
 		shs = append(shs, Shard{Name: shard.Name(fmt.Sprint("a.", num)), Domain: "a"})
 		leads[shs[num].Name] = 7
 	}
-	brd.cnc.SetShards(shs)
-	brd.cnc.HandleHeartbeat(Instance{ID: "x/1", Domain: "a", Cores: 4000, Ready: true, Leads: leads})
+	brd.elc.SetShards(shs)
+	brd.elc.HandleHeartbeat(Instance{ID: "x/1", Domain: "a", Cores: 4000, Ready: true, Leads: leads})
 	brd.taken(time.Second)
-	brd.cnc.Decide(brd.now)
-	chk.Equal(len(brd.cnc.toDecide(brd.now.Add(20*time.Millisecond))), 0)
-	chk.Equal(len(brd.cnc.toDecide(brd.now.Add(300*time.Millisecond))), 120)
-	brd.cnc.HandleHeartbeat(Instance{ID: "y/1", Domain: "b", Cores: 0.4, Ready: true})
-	brd.cnc.HandleInstanceLost(brd.now, "x/1", false)
+	brd.elc.Decide(brd.now)
+	chk.Equal(len(brd.elc.shardsToCheck(brd.now.Add(20*time.Millisecond))), 0)
+	chk.Equal(len(brd.elc.shardsToCheck(brd.now.Add(300*time.Millisecond))), 120)
+	brd.elc.HandleHeartbeat(Instance{ID: "y/1", Domain: "b", Cores: 0.4, Ready: true})
+	brd.elc.HandleInstanceLost(brd.now, "x/1", false)
 	chk.True(len(brd.taken(100*time.Millisecond)) >= 2)
 }
 
@@ -87,24 +87,24 @@
 	chk := is.New(t)
 	brd := newBoard(0.4)
 	shd := Shard{Name: "a.0", Domain: "a"}
-	leader := func() shard.InstanceID { led, _ := brd.cnc.Leader(shd); return led }
+	leader := func() shard.InstanceID { led, _ := brd.elc.Leader(shd); return led }
 	claim := func(id shard.InstanceID, leads map[shard.Name]int64) {
-		brd.cnc.HandleHeartbeat(Instance{ID: id, Domain: "a", Ready: true, Leads: leads})
+		brd.elc.HandleHeartbeat(Instance{ID: id, Domain: "a", Ready: true, Leads: leads})
 	}
 	claim("x/1", map[shard.Name]int64{"a.0": 5, "a.1": 6})
 	chk.Equal(leader(), shard.InstanceID("x/1"))
-	brd.cnc.HandleTakeover(brd.now, "a.0", 9)
+	brd.elc.HandleTakeover(brd.now, "a.0", 9)
 	chk.Equal(leader(), shard.InstanceID("self/1"))
 	claim("y/1", map[shard.Name]int64{"a.0": 12})
-	chk.Equal(brd.cnc.Superseded(), []shard.Name{"a.0"})
-	brd.cnc.HandleLeadershipEnd(brd.now, "a.0", false)
+	chk.Equal(brd.elc.Superseded(), []shard.Name{"a.0"})
+	brd.elc.HandleLeadershipEnd(brd.now, "a.0", false)
 	claim("y/1", nil)
 	chk.Equal(leader(), shard.InstanceID("x/1"))
 	claim("x/1", map[shard.Name]int64{"a.1": 6})
 	chk.Equal(leader(), shard.InstanceID(""))
 	claim("x/1", map[shard.Name]int64{"a.0": 20})
-	brd.cnc.HandleInstanceLost(brd.now, "x/1", true)
-	brd.cnc.HandleInstanceLost(brd.now, "x/1", true)
+	brd.elc.HandleInstanceLost(brd.now, "x/1", true)
+	brd.elc.HandleInstanceLost(brd.now, "x/1", true)
 	chk.Equal(leader(), shard.InstanceID(""))
-	chk.Equal(len(brd.cnc.claims), 0)
+	chk.Equal(len(brd.elc.claims), 0)
 }
--- a/internal/process/succession/shards.go
+++ b/internal/process/succession/shards.go
@@ -9,15 +9,15 @@
 	"chestnutstack/internal/request/shard"
 )
 
-// serversPerShard is the size that shards are cut to. With some ten backend servers an instance, each instance leads about one
-// shard and sends its share of the starts, by its link and its processor; the larger a shard, the better its tasks are
-// packed. Of 64 servers, a quarter of the instances sent all starts.
+// serversPerShard is the intended number of backend servers of a shard. There are some ten backend servers per instance, so each
+// instance leads about one shard and its link and processor carry their share of the starts. Larger shards pack tasks
+// better, but with 64 servers a shard a quarter of the instances sent all starts.
 const serversPerShard = 9
 
-// Divisions has the division of each failure domain.
+// Divisions has the division into shards of each failure domain, by its name.
 type Divisions map[string]shard.Division
 
-// Merge takes in what another instance has and reports whether anything has changed.
+// Merge adopts the newer divisions of another instance, by stamp and then by count, and reports whether any division has changed.
 func (dvs Divisions) Merge(oth Divisions) bool {
 	changed := false
 	for dom, dvn := range oth {
@@ -30,7 +30,8 @@
 	return changed
 }
 
-// Confirm turns guesses into divisions that others follow, as the own instance is about to act on them.
+// Confirm gives a stamp to each provisional division, so that other instances adopt it; it is called before the own instance acts on
+// the divisions.
 func (dvs Divisions) Confirm() {
 	for dom, dvn := range dvs {
 		if dvn.Stamp == 0 {
@@ -39,8 +40,8 @@
 	}
 }
 
-// Divide assigns backend servers to shards, those of a failure domain evenly by hash. The number of a
-// domain's shards is kept while it fits within a factor of two, as each change moves servers between leaders.
+// Divide assigns backend servers to shards, those of a failure domain evenly by hash. A domain's number of shards grows only when the
+// servers call for at least twice as many, as each change moves servers between leaders.
 func (dvs Divisions) Divide(ents []shard.ServerEntry) map[Shard][]shard.ServerEntry {
 	byDomain := map[string][]shard.ServerEntry{}
 	for _, ent := range ents {
@@ -48,7 +49,7 @@
 	}
 	divided := map[Shard][]shard.ServerEntry{}
 	for dom, lst := range byDomain {
-		dvs.update(dom, len(lst))
+		dvs.updateCount(dom, len(lst))
 		for num := range dvs[dom].Count {
 			divided[shardOf(dom, num)] = nil
 		}
@@ -60,8 +61,8 @@
 	return divided
 }
 
-// KeepEmptyShards adds the shards of a failure domain without servers, so that their leaders stay. The entries of all servers that were
-// cut off together with their domain lapse together, while its instances lead them well.
+// KeepEmptyShards adds to divided those shards of a failure domain that have no listed servers, so that their leaders stay. When a
+// domain is partitioned from the store, the entries of all its servers expire together, while its instances lead them as before.
 func (dvs Divisions) KeepEmptyShards(divided map[Shard][]shard.ServerEntry, domain string) {
 	for num := range dvs[domain].Count {
 		shd := shardOf(domain, num)
@@ -73,16 +74,17 @@
 
 // ShardOf returns the shard that a backend server belongs to.
 func (dvs Divisions) ShardOf(ent shard.ServerEntry) Shard {
-	return shardOf(ent.FailureDomain, pick(ent.ID, max(1, dvs[ent.FailureDomain].Count)))
+	return shardOf(ent.FailureDomain, rendezvousIndex(ent.ID, max(1, dvs[ent.FailureDomain].Count)))
 }
 
-func (dvs Divisions) update(domain string, servers int) {
+// updateCount sets a provisional number of shards (stamp 0) for a failure domain, or doubles or more a confirmed one under a new stamp.
+func (dvs Divisions) updateCount(domain string, servers int) {
 	old := dvs[domain]
 	want := max(1, (servers+serversPerShard/2)/serversPerShard)
 	if old.Stamp == 0 {
 		dvs[domain] = shard.Division{Count: want}
 	} else if want >= 2*old.Count {
-		// The list shrinks for a while when the store is away, so that fewer servers change nothing.
+		// The number never falls: the list shrinks for a while when the store is unavailable.
 		dvs[domain] = shard.Division{Count: want, Stamp: old.Stamp + 1}
 	}
 }
@@ -91,8 +93,8 @@
 	return Shard{Name: shard.Name(domain + "." + strconv.Itoa(num)), Domain: domain}
 }
 
-// pick returns the shard with the highest hash, so that a change of the number moves few servers.
-func pick(id shard.ServerID, count int) int {
+// rendezvousIndex returns the index of a server's shard by rendezvous hashing, so that a change of the count moves few servers.
+func rendezvousIndex(id shard.ServerID, count int) int {
 	var bst int
 	var top uint64
 	for num := range count {
@@ -103,7 +105,7 @@
 	return bst
 }
 
-// SortedShards returns the shards by name.
+// SortedShards returns the keys of divided in the order of their names.
 func SortedShards(divided map[Shard][]shard.ServerEntry) []Shard {
 	shs := make([]Shard, 0, len(divided))
 	for shd := range divided {
--- a/internal/process/succession/succession.go
+++ b/internal/process/succession/succession.go
@@ -11,199 +11,203 @@
 	"chestnutstack/internal/request/shard"
 )
 
-// Instance is what is known of an entry instance that is heard.
+// Instance is the state that an instance reports of itself in its heartbeats.
 type Instance struct {
 	ID     shard.InstanceID
 	Domain string
-	// Cores is the share of a core that the instance has.
-	Cores      float64
+	// Cores is the processor capacity of the instance, in cores; it may be a fraction of one.
+	Cores          float64
 	Ready, Leaving bool
-	// Leads has the fencing token of each shard that the instance leads.
+	// Leads has the fencing token of each shard led by the instance.
 	Leads map[shard.Name]int64
 }
 
-// Shard is a part of the pool and the failure domain that its backend servers stand in.
+// Shard names a part of the backend servers and the failure domain that they are in.
 type Shard struct {
 	Name   shard.Name
 	Domain string
 }
 
-// Config has the times that a Council works with.
+// Config has the delays and intervals of an Elector.
 type Config struct {
-	// TakeoverDelay is how long a shard may look as if it had no leader before another one takes it over: a
-	// leader that was just heard for the first time may not have said yet what it leads.
+	// TakeoverDelay is how long a shard must appear to have no leader before it is taken over: a leader that was just heard for the first
+	// time may not have reported yet which shards it leads.
 	TakeoverDelay time.Duration
-	// ForeignTakeoverDelay is the patience with shards of another failure domain, whose own instances should go first:
-	// when all start at once they do so within 0.3 s.
+	// ForeignTakeoverDelay replaces TakeoverDelay for a shard of another failure domain, whose own instances should take it first: when
+	// all instances start at once, they do so within 0.3 s.
 	ForeignTakeoverDelay time.Duration
-	// ReadyDelay is how long an instance that has become ready listens before it leads: the others have said by then what they
-	// lead and that they are ready, too, which may wait for the next beat. With 60 ms, two that had started together both
-	// took a shard in one of twenty plays, and its jobs waited for a second.
+	// ReadyDelay is how long an instance that has become ready only listens before it takes a shard over. By then the others have reported
+	// which shards they lead and that they are ready too, which may wait for their next heartbeat. With 60 ms, two instances that started
+	// together both took a shard in one start of twenty, and its jobs waited for a second.
 	ReadyDelay time.Duration
-	// IsolationTimeout is how long an instance that hears nobody waits before it takes over what others led: it is
-	// more likely cut off than the last one.
+	// IsolationTimeout is how long an instance that hears no other any more waits before it takes shards over: it is more likely
+	// partitioned than the only one left.
 	IsolationTimeout time.Duration
-	// PauseGrace is for how long an instance that was short of processor does not trust what it missed: it may have lost
-	// leaders that were fine.
+	// PauseGrace is for how long after a pause of the own process shards that had a leader aren't taken over: the leaders that the process
+	// lost by missed heartbeats may be healthy.
 	PauseGrace time.Duration
-	// CandidateDelay is how much longer than the instance before it each further candidate waits.
+	// CandidateDelay is how much longer each candidate for a shard waits than the candidate before it.
 	CandidateDelay time.Duration
-	// ReturnDelay is how long an instance is ready before it takes over a shard of its failure domain from one
-	// outside.
+	// ReturnDelay is how long an instance must be ready before it takes a shard of its failure domain over from a healthy leader: one of
+	// another failure domain, or one with a much higher load.
 	ReturnDelay time.Duration
-	// RecheckInterval is how often all shards are looked at where nothing has changed: one whose leader may make way is found so.
+	// RecheckInterval is how often all shards are checked although nothing has changed, to find leaders that have become replaceable by
+	// time alone.
 	RecheckInterval time.Duration
-	// InitialBackoff is the first pause after a shard was lost to another leader; it doubles with each loss.
+	// InitialBackoff is the pause after a shard was first lost to another leader's token; it doubles with each loss up to MaxBackoff.
 	InitialBackoff, MaxBackoff time.Duration
 }
 
-// DefaultConfig returns the times for instances that beat each 100 ms and are missed after 400 ms.
+// DefaultConfig returns the delays for heartbeats each 100 ms, with instances taken for lost after 400 ms of silence.
 func DefaultConfig() Config {
 	return Config{
-		TakeoverDelay:   30 * time.Millisecond,
-		ForeignTakeoverDelay:    400 * time.Millisecond,
-		ReadyDelay:   110 * time.Millisecond,
-		IsolationTimeout:      1500 * time.Millisecond,
-		PauseGrace:     500 * time.Millisecond,
+		TakeoverDelay:        30 * time.Millisecond,
+		ForeignTakeoverDelay: 400 * time.Millisecond,
+		ReadyDelay:           110 * time.Millisecond,
+		IsolationTimeout:     1500 * time.Millisecond,
+		PauseGrace:           500 * time.Millisecond,
 		CandidateDelay:       250 * time.Millisecond,
-		ReturnDelay:     500 * time.Millisecond,
-		RecheckInterval:       250 * time.Millisecond,
-		InitialBackoff:    50 * time.Millisecond,
-		MaxBackoff: 5 * time.Second,
+		ReturnDelay:          500 * time.Millisecond,
+		RecheckInterval:      250 * time.Millisecond,
+		InitialBackoff:       50 * time.Millisecond,
+		MaxBackoff:           5 * time.Second,
 	}
 }
 
-// Elector knows the instances and the shards, as seen from one instance.
+// Elector decides for one instance which shards it is to lead, from what that instance knows of the others. It is not safe for
+// concurrent use.
 type Elector struct {
-	cfg       Config
-	self      Instance
-	started   time.Time
-	readyAt   time.Time
-	others    map[shard.InstanceID]*Instance
-	everHeard bool
-	// aloneAt is when the last other instance was lost.
-	aloneAt time.Time
-	shards  []Shard
-	// tookAt is when the own instance last took a shard over.
-	tookAt time.Time
-	// heldUpAt is when the own process was last short of processor; led has the shards that were seen to have a leader.
-	heldUpAt time.Time
-	led      map[shard.Name]bool
-	// vacant is since when a shard looks as if it had no leader.
-	vacant map[shard.Name]time.Time
-	// silent is how many instances of the own failure domain fell silent without a longer pause, silentAt when the last one did.
-	silent   int
-	silentAt time.Time
-	losses   map[shard.Name]loss
-	claims   claims
-	// changed is set once something was heard or done that may change who leads; all shards were last looked at at lookedAt, and open
-	// are those that have no leader or wait for a change of hands.
-	changed  bool
-	lookedAt time.Time
-	open     []Shard
+	cfg          Config
+	self         Instance
+	started      time.Time
+	readyAt      time.Time
+	peers        map[shard.InstanceID]*Instance
+	everHadPeers bool
+	// lastPeerLostAt is when the last of the other instances was lost, so that none was left.
+	lastPeerLostAt time.Time
+	shards         []Shard
+	// takeoverAt is the time of the own instance's last takeover.
+	takeoverAt time.Time
+	// pausedAt is when the last pause of the own process was noticed; hadLeader has the shards that were once seen to have a leader.
+	pausedAt  time.Time
+	hadLeader map[shard.Name]bool
+	// vacantSince is when a shard was first seen to have no leader, or a replaceable one.
+	vacantSince map[shard.Name]time.Time
+	// silentPeers is how many instances of the own failure domain have fallen silent in a row, with less than PauseGrace between two;
+	// silentAt is when the last one did.
+	silentPeers int
+	silentAt    time.Time
+	backoffs    map[shard.Name]backoff
+	claims      claims
+	// changed is set by each event that may change who leads a shard. All shards were last checked at checkedAt; unsettled are those
+	// that had no leader then, or a replaceable one.
+	changed   bool
+	checkedAt time.Time
+	unsettled []Shard
 }
 
-type loss struct {
+// backoff bars a shard from being taken over until a time, after a number of losses to another leader's token.
+type backoff struct {
 	until time.Time
-	times int
+	count int
 }
 
-// New returns the council as an instance sees it that has heard nobody.
+// New returns the elector of an instance that has heard no other one yet.
 func New(cfg Config, self Instance, now time.Time) *Elector {
 	self.Leads = map[shard.Name]int64{}
 	return &Elector{
 		cfg: cfg, self: self,
-		started: now, aloneAt: now,
-		others: map[shard.InstanceID]*Instance{}, vacant: map[shard.Name]time.Time{}, losses: map[shard.Name]loss{},
-		led: map[shard.Name]bool{}, claims: claims{},
+		started: now, lastPeerLostAt: now,
+		peers: map[shard.InstanceID]*Instance{}, vacantSince: map[shard.Name]time.Time{}, backoffs: map[shard.Name]backoff{},
+		hadLeader: map[shard.Name]bool{}, claims: claims{},
 	}
 }
 
-// SetShards tells the council which shards there are.
-func (cnc *Elector) SetShards(shs []Shard) { cnc.shards, cnc.changed = shs, true }
+// SetShards replaces the shards to decide about.
+func (elc *Elector) SetShards(shs []Shard) { elc.shards, elc.changed = shs, true }
 
-// SetReady tells the council that its own instance can lead.
-func (cnc *Elector) SetReady(now time.Time) {
-	if !cnc.self.Ready {
-		cnc.self.Ready, cnc.readyAt, cnc.changed = true, now, true
+// SetReady marks the own instance as able to lead; calls after the first have no effect.
+func (elc *Elector) SetReady(now time.Time) {
+	if !elc.self.Ready {
+		elc.self.Ready, elc.readyAt, elc.changed = true, now, true
 	}
 }
 
-// SetLeaving tells the council that its own instance is to stop: others take its shards over.
-func (cnc *Elector) SetLeaving() { cnc.self.Leaving = true }
+// SetLeaving marks the own instance as shutting down: it takes no more shards over, and the other instances take over those that it leads.
+func (elc *Elector) SetLeaving() { elc.self.Leaving = true }
 
-// Ready reports whether the own instance can lead.
-func (cnc *Elector) Ready() bool { return cnc.self.Ready }
+// Ready reports whether the own instance is able to lead.
+func (elc *Elector) Ready() bool { return elc.self.Ready }
 
-// HandleHeartbeat takes in what an instance says of itself and reports whether it was not heard before, and whether
-// anything has changed.
-func (cnc *Elector) HandleHeartbeat(ins Instance) (fresh, changed bool) {
-	old := cnc.others[ins.ID]
-	cnc.others[ins.ID] = &ins
-	cnc.everHeard = true
+// HandleHeartbeat takes in what another instance reports of itself. It returns whether that instance was unknown before (fresh), and
+// whether it is new or its tokens, readiness or leaving have changed.
+func (elc *Elector) HandleHeartbeat(ins Instance) (fresh, changed bool) {
+	old := elc.peers[ins.ID]
+	elc.peers[ins.ID] = &ins
+	elc.everHadPeers = true
 	switch {
 	case old == nil:
-		cnc.claims.set(ins.ID, nil, ins.Leads)
+		elc.claims.set(ins.ID, nil, ins.Leads)
 		fresh, changed = true, true
 	case !maps.Equal(old.Leads, ins.Leads):
-		cnc.claims.set(ins.ID, old.Leads, ins.Leads)
+		elc.claims.set(ins.ID, old.Leads, ins.Leads)
 		changed = true
 	default:
 		changed = old.Ready != ins.Ready || old.Leaving != ins.Leaving
 	}
-	cnc.changed = cnc.changed || changed
+	elc.changed = elc.changed || changed
 	return fresh, changed
 }
 
-// HandleInstanceLost removes an instance that is not heard any more; a silent one was not seen to end.
-func (cnc *Elector) HandleInstanceLost(now time.Time, id shard.InstanceID, silent bool) {
-	ins := cnc.others[id]
+// HandleInstanceLost removes another instance; silent says that its heartbeats stopped without any sign that its process has ended.
+func (elc *Elector) HandleInstanceLost(now time.Time, id shard.InstanceID, silent bool) {
+	ins := elc.peers[id]
 	if ins == nil {
 		return
 	}
-	if silent && ins.Domain == cnc.self.Domain {
-		cnc.noteSilent(now)
+	if silent && ins.Domain == elc.self.Domain {
+		elc.countSilent(now)
 	}
-	cnc.claims.set(id, ins.Leads, nil)
-	cnc.changed = true
-	delete(cnc.others, id)
-	if len(cnc.others) == 0 {
-		cnc.aloneAt = now
+	elc.claims.set(id, ins.Leads, nil)
+	elc.changed = true
+	delete(elc.peers, id)
+	if len(elc.peers) == 0 {
+		elc.lastPeerLostAt = now
 	}
 }
 
-// HandleTakeover notes that the own instance leads a shard.
-func (cnc *Elector) HandleTakeover(now time.Time, name shard.Name, token int64) {
-	cnc.self.Leads[name] = token
-	cnc.claims.add(cnc.self.ID, name, token)
-	cnc.tookAt, cnc.changed = now, true
+// HandleTakeover takes note that the own instance has begun to lead a shard.
+func (elc *Elector) HandleTakeover(now time.Time, name shard.Name, token int64) {
+	elc.self.Leads[name] = token
+	elc.claims.add(elc.self.ID, name, token)
+	elc.takeoverAt, elc.changed = now, true
 }
 
-// HandleLeadershipEnd notes that the own instance leads a shard no more; fenced says that another leader's token
-// was met, though nobody else was heard to lead it.
-func (cnc *Elector) HandleLeadershipEnd(now time.Time, name shard.Name, fenced bool) {
-	delete(cnc.self.Leads, name)
-	cnc.claims.remove(cnc.self.ID, name)
-	cnc.changed = true
+// HandleLeadershipEnd takes note that the own instance leads a shard no more. If it was fenced, that is, met a higher token although no
+// other leader was heard, it takes the shard over again only after a backoff.
+func (elc *Elector) HandleLeadershipEnd(now time.Time, name shard.Name, fenced bool) {
+	delete(elc.self.Leads, name)
+	elc.claims.remove(elc.self.ID, name)
+	elc.changed = true
 	if !fenced {
 		return
 	}
-	los := cnc.losses[name]
-	pause := min(cnc.cfg.InitialBackoff<<min(los.times, maxDoublings), cnc.cfg.MaxBackoff)
-	cnc.losses[name] = loss{until: now.Add(pause), times: los.times + 1}
+	bck := elc.backoffs[name]
+	pause := min(elc.cfg.InitialBackoff<<min(bck.count, maxBackoffDoublings), elc.cfg.MaxBackoff)
+	elc.backoffs[name] = backoff{until: now.Add(pause), count: bck.count + 1}
 }
 
-const maxDoublings = 6
+const maxBackoffDoublings = 6
 
-// Peers returns the instances that are heard.
-func (cnc *Elector) Peers() map[shard.InstanceID]*Instance { return cnc.others }
+// Peers returns the other instances that are heard, by ID.
+func (elc *Elector) Peers() map[shard.InstanceID]*Instance { return elc.peers }
 
-// DutyRank returns how many of the instances that are heard go before the own one in a duty that one is to do, by
-// hash: 0 is the first.
-func (cnc *Elector) DutyRank(duty string) int {
-	own := xxhash.Sum64String(duty + " " + string(cnc.self.ID))
+// DutyRank returns the own place, 0 for the first, in the order by hash of all instances for a duty that one of them is to do; an
+// instance whose ID is the duty's name is left out.
+func (elc *Elector) DutyRank(duty string) int {
+	own := xxhash.Sum64String(duty + " " + string(elc.self.ID))
 	rnk := 0
-	for id := range cnc.others {
+	for id := range elc.peers {
 		if string(id) != duty && xxhash.Sum64String(duty+" "+string(id)) < own {
 			rnk++
 		}
@@ -211,32 +215,32 @@
 	return rnk
 }
 
-// HasVacantShard reports whether a shard of a failure domain has no leader as far as is known.
-func (cnc *Elector) HasVacantShard(domain string) bool {
-	for _, shd := range cnc.shards {
+// HasVacantShard reports whether any shard of a failure domain has no known leader.
+func (elc *Elector) HasVacantShard(domain string) bool {
+	for _, shd := range elc.shards {
 		if shd.Domain != domain {
 			continue
 		}
-		if led, _ := cnc.Leader(shd); led == "" {
+		if led, _ := elc.Leader(shd); led == "" {
 			return true
 		}
 	}
 	return false
 }
 
-// LeadsAny reports whether the own instance leads any shard.
-func (cnc *Elector) LeadsAny() bool { return len(cnc.self.Leads) > 0 }
+// LeadsAny reports whether the own instance leads at least one shard.
+func (elc *Elector) LeadsAny() bool { return len(elc.self.Leads) > 0 }
 
-// Leader returns who leads a shard as far as is known, and with which fencing token; nobody is "".
-func (cnc *Elector) Leader(shd Shard) (shard.InstanceID, int64) {
-	return cnc.claims.strongest(shd.Name)
+// Leader returns the known leader of a shard and its fencing token, or "" if there is none.
+func (elc *Elector) Leader(shd Shard) (shard.InstanceID, int64) {
+	return elc.claims.newest(shd.Name)
 }
 
-// Superseded returns the shards that the own instance leads and that another one leads with a newer token.
-func (cnc *Elector) Superseded() []shard.Name {
+// Superseded returns, in the order of their names, the shards led by the own instance that another one leads with a newer token.
+func (elc *Elector) Superseded() []shard.Name {
 	var names []shard.Name
-	for name := range cnc.self.Leads {
-		if led, _ := cnc.claims.strongest(name); led != cnc.self.ID {
+	for name := range elc.self.Leads {
+		if led, _ := elc.claims.newest(name); led != elc.self.ID {
 			names = append(names, name)
 		}
 	}
@@ -244,125 +248,128 @@
 	return names
 }
 
-// Decide returns the shards to take over, one at most. The next one waits until the others have heard of the first: an instance
-// that took all at once led all of its failure domain and ran out of processor, while one as strong led none.
-func (cnc *Elector) Decide(now time.Time) (take []Shard) {
-	for _, shd := range cnc.toDecide(now) {
-		led, _ := cnc.Leader(shd)
-		_, mine := cnc.self.Leads[shd.Name]
-		if !mine && len(take) == 0 && cnc.shouldTake(now, shd, led) {
+// Decide returns the shards to take over now, at most one; it is called on each tick. The next one waits until the other instances have
+// heard of the first: an instance that took all at once led its whole failure domain and ran out of processor, while one as strong led none.
+func (elc *Elector) Decide(now time.Time) (take []Shard) {
+	for _, shd := range elc.shardsToCheck(now) {
+		led, _ := elc.Leader(shd)
+		_, mine := elc.self.Leads[shd.Name]
+		if !mine && len(take) == 0 && elc.shouldTakeOver(now, shd, led) {
 			take = append(take, shd)
 		}
-		if _, waits := cnc.vacant[shd.Name]; led == "" || waits {
-			cnc.open = append(cnc.open, shd)
+		if _, waits := elc.vacantSince[shd.Name]; led == "" || waits {
+			elc.unsettled = append(elc.unsettled, shd)
 		}
 	}
-	if len(take) > 0 && now.Sub(cnc.tookAt) < cnc.cfg.TakeoverDelay {
+	if len(take) > 0 && now.Sub(elc.takeoverAt) < elc.cfg.TakeoverDelay {
 		take = nil
 	}
 	return take
 }
 
-// toDecide returns the shards to look at: all after a change, and else those that might change hands by time alone. It empties open.
-func (cnc *Elector) toDecide(now time.Time) []Shard {
-	shs := cnc.shards
-	if !cnc.changed && now.Sub(cnc.lookedAt) < cnc.cfg.RecheckInterval {
-		shs = cnc.open
+// shardsToCheck returns the shards to decide about: all of them after a change or once RecheckInterval has passed, else the unsettled
+// ones, which may get a new leader by time alone. It empties unsettled.
+func (elc *Elector) shardsToCheck(now time.Time) []Shard {
+	shs := elc.shards
+	if !elc.changed && now.Sub(elc.checkedAt) < elc.cfg.RecheckInterval {
+		shs = elc.unsettled
 	} else {
-		cnc.changed, cnc.lookedAt = false, now
+		elc.changed, elc.checkedAt = false, now
 	}
-	cnc.open = nil
+	elc.unsettled = nil
 	return shs
 }
 
-// shouldTake reports whether the own instance is the one to take a shard over now.
-func (cnc *Elector) shouldTake(now time.Time, shd Shard, led shard.InstanceID) bool {
-	if !cnc.self.Ready || cnc.self.Leaving || now.Before(cnc.losses[shd.Name].until) {
+// shouldTakeOver reports whether the own instance is to take a shard over now; led is the shard's known leader, or "".
+func (elc *Elector) shouldTakeOver(now time.Time, shd Shard, led shard.InstanceID) bool {
+	if !elc.self.Ready || elc.self.Leaving || now.Before(elc.backoffs[shd.Name].until) {
 		return false
 	}
 	if led != "" {
-		cnc.led[shd.Name] = true
-		if !cnc.replaceable(now, shd, led) {
-			delete(cnc.vacant, shd.Name)
+		elc.hadLeader[shd.Name] = true
+		if !elc.replaceable(now, shd, led) {
+			delete(elc.vacantSince, shd.Name)
 			return false
 		}
-	} else if cnc.led[shd.Name] && (now.Sub(cnc.heldUpAt) < cnc.cfg.PauseGrace || cnc.mayBeDeaf(now)) {
+	} else if elc.hadLeader[shd.Name] && (now.Sub(elc.pausedAt) < elc.cfg.PauseGrace || elc.maybeOverloaded(now)) {
 		return false
 	}
-	since, waiting := cnc.vacant[shd.Name]
+	since, waiting := elc.vacantSince[shd.Name]
 	if !waiting {
-		cnc.vacant[shd.Name] = now
+		elc.vacantSince[shd.Name] = now
 		since = now
 	}
-	patience := cnc.cfg.TakeoverDelay
-	if cnc.self.Domain != shd.Domain {
-		patience = cnc.cfg.ForeignTakeoverDelay
+	patience := elc.cfg.TakeoverDelay
+	if elc.self.Domain != shd.Domain {
+		patience = elc.cfg.ForeignTakeoverDelay
 	}
-	before := cnc.before(shd)
-	if before > 0 && (led != "" || cnc.self.Domain != shd.Domain) {
+	before := elc.candidatesBefore(shd)
+	if before > 0 && (led != "" || elc.self.Domain != shd.Domain) {
 		return false
 	}
-	// The candidates before this one may be held up.
-	patience += time.Duration(before) * cnc.cfg.CandidateDelay
-	return now.Sub(since) >= patience && now.Sub(cnc.readyAt) >= cnc.cfg.ReadyDelay && !cnc.mayBeCutOff(now)
+	// Candidates with a better rank may be paused and not act.
+	patience += time.Duration(before) * elc.cfg.CandidateDelay
+	return now.Sub(since) >= patience && now.Sub(elc.readyAt) >= elc.cfg.ReadyDelay && !elc.maybeIsolated(now)
 }
 
-// replaceable reports whether a shard's leader should make way: it is leaving, or it stands in another
-// failure domain while an instance of the shard's own has been ready for long enough.
-func (cnc *Elector) replaceable(now time.Time, shd Shard, led shard.InstanceID) bool {
-	ins := cnc.others[led]
+// replaceable reports whether the own instance may take a shard over from its leader led: that one is leaving; or the own instance is of
+// the shard's failure domain and ready for ReturnDelay, and the leader is of another domain or has at least twice the load per core.
+func (elc *Elector) replaceable(now time.Time, shd Shard, led shard.InstanceID) bool {
+	ins := elc.peers[led]
 	if ins == nil {
 		return false
 	}
 	if ins.Leaving {
 		return true
 	}
-	if cnc.self.Domain != shd.Domain || now.Sub(cnc.readyAt) < cnc.cfg.ReturnDelay {
+	if elc.self.Domain != shd.Domain || now.Sub(elc.readyAt) < elc.cfg.ReturnDelay {
 		return false
 	}
-	return ins.Domain != shd.Domain || burden(&cnc.self, 1) <= strainRatio*burden(ins, 0)
+	return ins.Domain != shd.Domain || shardsPerCore(&elc.self, 1) <= handoverLoadRatio*shardsPerCore(ins, 0)
 }
 
-// strainRatio is how much less a shard has to weigh on another instance before it changes hands: a
-// change costs the shard a tenth of a second without starts.
-const strainRatio = 0.5
+// handoverLoadRatio is the highest ratio of the own shards per core, after a takeover, to the present leader's at which a shard is taken
+// over for load. It is well below 1, as each takeover costs the shard a tenth of a second without starts.
+const handoverLoadRatio = 0.5
 
-// burden returns the shards that an instance leads, with some more, for each core that it has.
-func burden(ins *Instance, more int) float64 {
-	return float64(len(ins.Leads)+more) / max(ins.Cores, leastProcessor)
+// shardsPerCore returns the number of shards that an instance would lead per core if it led more of them.
+func shardsPerCore(ins *Instance, more int) float64 {
+	return float64(len(ins.Leads)+more) / max(ins.Cores, minCores)
 }
 
-// leastProcessor keeps the burden finite for an instance that does not say what it has.
-const leastProcessor = 0.01
+// minCores keeps shardsPerCore finite for an instance that doesn't report its cores.
+const minCores = 0.01
 
-// before returns how many instances are to lead a shard rather than the own one: those of its failure domain go first,
-// then those on which it weighs least, and by hash among equals.
-func (cnc *Elector) before(shd Shard) int {
+// candidatesBefore returns how many other instances are preferred over the own one as leader of a shard.
+func (elc *Elector) candidatesBefore(shd Shard) int {
 	num := 0
-	for _, ins := range cnc.others {
-		if ins.Ready && !ins.Leaving && preferred(ins, &cnc.self, shd) {
+	for _, ins := range elc.peers {
+		if ins.Ready && !ins.Leaving && preferred(ins, &elc.self, shd) {
 			num++
 		}
 	}
 	return num
 }
 
-// preferred reports whether one instance is to lead a shard rather than another.
+// preferred reports whether instance one is a better leader of a shard than two: instances of the shard's failure domain come first,
+// then those with fewer shards per core, then the order is by hash.
 func preferred(one, two *Instance, shd Shard) bool {
 	return cmp.Or(
-		-cmp.Compare(near(one, shd), near(two, shd)),
-		cmp.Compare(burden(one, 1), burden(two, 1)),
-		cmp.Compare(weight(one, shd), weight(two, shd)),
+		-cmp.Compare(inDomain(one, shd), inDomain(two, shd)),
+		cmp.Compare(shardsPerCore(one, 1), shardsPerCore(two, 1)),
+		cmp.Compare(tieBreak(one, shd), tieBreak(two, shd)),
 	) < 0
 }
 
-func near(ins *Instance, shd Shard) int {
+// inDomain returns 1 if an instance is in the failure domain of a shard, else 0.
+func inDomain(ins *Instance, shd Shard) int {
 	if ins.Domain == shd.Domain {
 		return 1
 	}
 	return 0
 }
 
-func weight(ins *Instance, shd Shard) uint64 {
+// tieBreak returns a hash that orders equal candidates differently for each shard.
+func tieBreak(ins *Instance, shd Shard) uint64 {
 	return xxhash.Sum64String(string(ins.ID) + " " + string(shd.Name))
 }
--- a/internal/process/succession/succession_test.go
+++ b/internal/process/succession/succession_test.go
@@ -77,15 +77,15 @@
 
 // board is a Council with others that it has heard.
 type board struct {
-	cnc *Elector
+	elc *Elector
 	now time.Time
 }
 
 func newBoard(processor float64) *board {
 	brd := &board{now: time.Unix(1000, 0)}
-	brd.cnc = New(DefaultConfig(), Instance{ID: "self/1", Domain: "a", Cores: processor}, brd.now)
-	brd.cnc.SetShards([]Shard{{Name: "a.0", Domain: "a"}, {Name: "b.0", Domain: "b"}})
-	brd.cnc.SetReady(brd.now)
+	brd.elc = New(DefaultConfig(), Instance{ID: "self/1", Domain: "a", Cores: processor}, brd.now)
+	brd.elc.SetShards([]Shard{{Name: "a.0", Domain: "a"}, {Name: "b.0", Domain: "b"}})
+	brd.elc.SetReady(brd.now)
 	return brd
 }
 
@@ -97,17 +97,17 @@
 	for _, name := range leads {
 		ins.Leads[name] = 7
 	}
-	brd.cnc.HandleHeartbeat(ins)
+	brd.elc.HandleHeartbeat(ins)
 }
 
 // taken returns what the instance takes over within a time.
 func (brd *board) taken(within time.Duration) map[shard.Name]bool {
 	tkn := map[shard.Name]bool{}
 	for end := brd.now.Add(within); brd.now.Before(end); brd.now = brd.now.Add(10 * time.Millisecond) {
-		take := brd.cnc.Decide(brd.now)
+		take := brd.elc.Decide(brd.now)
 		for _, shd := range take {
 			tkn[shd.Name] = true
-			brd.cnc.HandleTakeover(brd.now, shd.Name, 9)
+			brd.elc.HandleTakeover(brd.now, shd.Name, 9)
 		}
 	}
 	return tkn
@@ -158,7 +158,7 @@
 		"all others are lost, so this one is more likely cut off": {
 			story: func(brd *board) {
 				brd.hear("x/1", "a", 0.4, false, "a.0")
-				brd.cnc.HandleInstanceLost(brd.now, "x/1", true)
+				brd.elc.HandleInstanceLost(brd.now, "x/1", true)
 			},
 		},
 	}
@@ -183,13 +183,13 @@
 	brd := newBoard(0.4)
 	tries := 0
 	for end := brd.now.Add(10 * time.Second); brd.now.Before(end); brd.now = brd.now.Add(10 * time.Millisecond) {
-		take := brd.cnc.Decide(brd.now)
+		take := brd.elc.Decide(brd.now)
 		for _, shd := range take {
 			if shd.Name == "a.0" {
 				tries++
 			}
-			brd.cnc.HandleTakeover(brd.now, shd.Name, 9)
-			brd.cnc.HandleLeadershipEnd(brd.now, shd.Name, true)
+			brd.elc.HandleTakeover(brd.now, shd.Name, 9)
+			brd.elc.HandleLeadershipEnd(brd.now, shd.Name, true)
 		}
 	}
 	chk.True(tries >= 4 && tries <= 9)
@@ -204,13 +204,13 @@
 		duty := fmt.Sprint("peer/", num)
 		ranks := map[int]bool{}
 		for _, id := range ids {
-			cnc := New(DefaultConfig(), Instance{ID: id}, time.Unix(0, 0))
+			elc := New(DefaultConfig(), Instance{ID: id}, time.Unix(0, 0))
 			for _, oth := range ids {
 				if oth != id {
-					cnc.HandleHeartbeat(Instance{ID: oth})
+					elc.HandleHeartbeat(Instance{ID: oth})
 				}
 			}
-			rnk := cnc.DutyRank(duty)
+			rnk := elc.DutyRank(duty)
 			ranks[rnk] = true
 			if rnk == 0 {
 				firsts[id] = true
@@ -226,15 +226,15 @@
 	// is first leaves the second shard until the other has heard of it.
 	chk := is.New(t)
 	brd := newBoard(0.8)
-	brd.cnc.SetShards([]Shard{{Name: "a.0", Domain: "a"}, {Name: "a.1", Domain: "a"}})
+	brd.elc.SetShards([]Shard{{Name: "a.0", Domain: "a"}, {Name: "a.1", Domain: "a"}})
 	brd.hear("x/1", "a", 0.8, false)
 	brd.now = brd.now.Add(time.Second)
-	brd.cnc.Decide(brd.now)
+	brd.elc.Decide(brd.now)
 	brd.now = brd.now.Add(50 * time.Millisecond)
-	take := brd.cnc.Decide(brd.now)
+	take := brd.elc.Decide(brd.now)
 	chk.True(len(take) <= 1)
 	for _, shd := range take {
-		brd.cnc.HandleTakeover(brd.now, shd.Name, 9)
+		brd.elc.HandleTakeover(brd.now, shd.Name, 9)
 	}
 	chk.Equal(len(brd.taken(20*time.Millisecond)), 0)
 }
@@ -269,11 +269,11 @@
 			if cse.led {
 				brd.hear("one/2", "a", 0.8, false, "a.0")
 				brd.taken(time.Second)
-				brd.cnc.HandleInstanceLost(brd.now, "one/2", true)
+				brd.elc.HandleInstanceLost(brd.now, "one/2", true)
 			}
 			brd.hear("two/3", "b", 0.8, false, "b.0")
 			if cse.heldUp {
-				brd.cnc.HandlePause(brd.now)
+				brd.elc.HandlePause(brd.now)
 			}
 			chk.Equal(brd.taken(400 * time.Millisecond)["a.0"], cse.want)
 		})
@@ -281,7 +281,7 @@
 }
 
 func TestCandidatesTakeOverInOrder(t *testing.T) {
-	// The strongest instance of the failure domain does not take a shard that has lost its leader: it is held up. The next
+	// The newest instance of the failure domain does not take a shard that has lost its leader: it is held up. The next
 	// one does after a while.
 	chk := is.New(t)
 	brd := newBoard(0.2)
@@ -316,7 +316,7 @@
 			brd.taken(time.Second)
 			for num := range cse.silent {
 				brd.now = brd.now.Add(30 * time.Millisecond)
-				brd.cnc.HandleInstanceLost(brd.now, shard.InstanceID(fmt.Sprint("near-", num, "/1")), true)
+				brd.elc.HandleInstanceLost(brd.now, shard.InstanceID(fmt.Sprint("near-", num, "/1")), true)
 			}
 			chk.Equal(len(brd.taken(1400*time.Millisecond)) > 0, cse.took)
 			chk.True(len(brd.taken(time.Second)) > 0 || cse.took) // In the end it takes what nobody leads.
