--- a/internal/version/config/config.go
+++ b/internal/version/config/config.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Route leads requests of a host and path prefix to a service; it is a queue with a priority.
+// Route maps requests of a host and path prefix to a service. The tasks of a route are queued with its priority and response time
+// objective.
 type Route struct {
 	name, host, prefix, service string
 	target, timeout             time.Duration
@@ -17,17 +18,17 @@
 	priority, attempts          int
 }
 
-// RouteParams is what a Route is made of; Target is the fixed part of the latency objective, Stretch
-// the part that grows with the work.
+// RouteParams are the fields of a Route, for NewRoute. The response time objective is Target plus Stretch times the duration of the
+// work.
 type RouteParams struct {
 	Name, Host, Prefix, Service string
-	// Timeout is the time that a request may take; 0 if it is not said.
+	// Timeout is the time that a request may take; 0 if the configuration sets none.
 	Target, Timeout    time.Duration
 	Stretch            float64
 	Priority, Attempts int
 }
 
-// NewRoute returns a route with at least one attempt.
+// NewRoute returns a route; fewer than one attempt is taken as one.
 func NewRoute(prm RouteParams) Route {
 	return Route{
 		name: prm.Name, host: prm.Host, prefix: prm.Prefix, service: prm.Service,
@@ -45,13 +46,13 @@
 // Service returns the name of the service whose backend servers run the route's tasks.
 func (rte Route) Service() string { return rte.service }
 
-// Priority returns the rank of the route; 0 goes first.
+// Priority returns the priority of the route; 0 is the highest.
 func (rte Route) Priority() int { return rte.priority }
 
-// Attempts returns how many failed runs a task may have.
+// Attempts returns how many failed runs a task may have, at least 1.
 func (rte Route) Attempts() int { return rte.attempts }
 
-// Timeout returns the time that a request of the route may take; 0 if that is not said.
+// Timeout returns the time that a request of the route may take; 0 if the configuration sets none.
 func (rte Route) Timeout() time.Duration { return rte.timeout }
 
 // Objective returns the response time that callers expect of work that takes a given time.
@@ -59,22 +60,22 @@
 	return rte.target + time.Duration(rte.stretch*float64(work))
 }
 
-// Limits bound what is read of a request.
+// Limits bound the size and the reading time of requests.
 type Limits struct {
-	// HeaderBytes and BodyBytes bound the two parts of a request, 0 for no bound.
+	// HeaderBytes and BodyBytes bound the header and the body of a request; 0 is no bound.
 	HeaderBytes, BodyBytes int
-	// HeaderTimeout bounds the reading of the header, IdleTimeout the wait for the next request.
+	// HeaderTimeout bounds the reading of the header, IdleTimeout the wait for the next request of a connection.
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Configuration is one version of what operators published.
+// Configuration is one published version of the configuration. It is immutable.
 type Configuration struct {
 	version int64
 	byHost  map[string][]Route
 	limits  Limits
 }
 
-// New returns a configuration of routes.
+// New returns a configuration; of several routes of a host, Match prefers the one with the longest prefix.
 func New(version int64, routes []Route, lim Limits) *Configuration {
 	cfg := &Configuration{version: version, byHost: map[string][]Route{}, limits: lim}
 	for _, rte := range routes {
@@ -86,13 +87,13 @@
 	return cfg
 }
 
-// Version returns the number of the version; versions rise in uneven steps.
+// Version returns the version's number; the numbers rise, but not by one each.
 func (cfg *Configuration) Version() int64 { return cfg.version }
 
-// Limits returns the bounds on requests.
+// Limits returns the bounds on the size and the reading time of requests.
 func (cfg *Configuration) Limits() Limits { return cfg.limits }
 
-// Services returns the names of the services that routes lead to.
+// Services returns the sorted names of the services that the routes use.
 func (cfg *Configuration) Services() []string {
 	names := map[string]bool{}
 	for _, rts := range cfg.byHost {
@@ -103,7 +104,8 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// Match returns the route of a host (with or without a port) that has the longest prefix of a path.
+// Match returns the route with the longest prefix of a path among those of a host, given with or without a port; ok is false if there
+// is none.
 func (cfg *Configuration) Match(host, path string) (Route, bool) {
 	if nam, _, err := net.SplitHostPort(host); err == nil {
 		host = nam
--- a/internal/version/domainlist/list.go
+++ b/internal/version/domainlist/list.go
@@ -5,31 +5,32 @@
 	"slices"
 )
 
-// Unread is the end of a View whose instance has read nothing of the log.
+// Unread is the End of a View of an instance that has read nothing of the log.
 const Unread int64 = -1
 
-// MaxUnknownDomains bounds the closed domains that the instance's settings do not name, and MaxNameLength the length of a name.
+// MaxUnknownDomains bounds the closed domains that the instance's settings do not name; MaxNameLength bounds a domain's name, in bytes.
 const (
 	MaxUnknownDomains = 100
-	MaxNameLength    = 64
+	MaxNameLength     = 64
 )
 
-// Record is what the log says of a failure domain at an offset.
+// Record says whether a failure domain is closed as of an offset of the log.
 type Record struct {
 	Offset int64
 	Domain string
 	Closed bool
 }
 
-// View is what an instance knows of the closed failure domains.
+// View is one instance's knowledge of the closed failure domains, as sent to others.
 type View struct {
 	// End is the offset before which the instance knows the whole log, or Unread.
 	End int64
-	// Closed has the closed domains in the order of their names.
+	// Closed has the names of the closed domains, sorted.
 	Closed []string
 }
 
-// List is an instance's knowledge of the closed failure domains. It is not safe for concurrent use.
+// List is an instance's knowledge of the closed failure domains, updated by reads of the log and by the views of peers. It is not safe
+// for concurrent use.
 type List struct {
 	end     int64
 	closed  map[string]bool
@@ -37,7 +38,7 @@
 	refused int64
 }
 
-// New returns a list that has read nothing; domains are the failure domains that the instance's settings name.
+// New returns a list that has read nothing; domains are the failure domains named in the instance's settings.
 func New(domains []string) *List {
 	lst := &List{end: Unread, closed: map[string]bool{}, domains: make(map[string]bool, len(domains))}
 	for _, dom := range domains {
@@ -46,30 +47,32 @@
 	return lst
 }
 
-// Initialized reports whether the list has been read, here or by a peer.
+// Initialized reports whether the list has been read from the log or adopted from a peer.
 func (lst *List) Initialized() bool { return lst.end != Unread }
 
 // Closed reports whether a failure domain is closed to new work.
 func (lst *List) Closed(domain string) bool { return lst.closed[domain] }
 
-// RefusedClosings returns how many closings were not believed, for a name that can't be one or because there were too many.
+// RefusedClosings returns how many records of closings were ignored, as their domain name is invalid or too many unknown domains are
+// closed.
 func (lst *List) RefusedClosings() int64 { return lst.refused }
 
-// View returns what the list knows, for other instances.
+// View returns the list's knowledge, to be sent to other instances.
 func (lst *List) View() View {
 	return View{End: lst.end, Closed: slices.Sorted(maps.Keys(lst.closed))}
 }
 
-// ApplySnapshot takes in the newest records of all domains, read when the log ended at an offset or later. A domain without a record is open.
-// It reports whether anything has changed.
+// ApplySnapshot replaces the closed domains by the newest records of all domains, read when the log ended at offset end or later; a
+// domain without a record is open. It reports whether any domain has changed.
 func (lst *List) ApplySnapshot(recs []Record, end int64) bool {
 	if end <= lst.end {
-		return false // A late answer, or one of a replica that lags.
+		return false // A late answer, or one of a lagging replica.
 	}
 	return lst.replace(recs, end)
 }
 
-// ApplyRecords takes in the records between two offsets of the log and reports whether anything has changed.
+// ApplyRecords applies records of the log read before offset to, without those that are known, and reports whether any domain has
+// changed.
 func (lst *List) ApplyRecords(recs []Record, to int64) bool {
 	if to <= lst.end {
 		return false
@@ -84,7 +87,7 @@
 	return !maps.Equal(was, lst.closed)
 }
 
-// Merge takes over what another instance knows, if it knows more, and reports whether anything has changed.
+// Merge adopts the view of another instance if it reaches further, and reports whether any domain has changed.
 func (lst *List) Merge(viw View) bool {
 	if viw.End <= lst.end {
 		return false
@@ -110,16 +113,16 @@
 		delete(lst.closed, rec.Domain)
 		return
 	}
-	if !lst.believes(rec.Domain) {
+	if !lst.mayClose(rec.Domain) {
 		lst.refused++
 		return
 	}
 	lst.closed[rec.Domain] = true
 }
 
-// believes reports whether a domain may be closed. One that the settings do not name may have been added since they were written;
-// closing it changes nothing until servers are listed there.
-func (lst *List) believes(domain string) bool {
+// mayClose reports whether a closing of a domain is accepted. A domain that the settings do not name may have been added to the system
+// since they were written; closing it has no effect until servers are listed there. The number of such domains is bounded.
+func (lst *List) mayClose(domain string) bool {
 	if lst.domains[domain] || lst.closed[domain] {
 		return true
 	}
--- a/internal/version/serverlist/census_test.go
+++ b/internal/version/serverlist/completeness_test.go
@@ -13,17 +13,17 @@
 	cfg := CompletenessConfig{RecoveryTime: 2500 * time.Millisecond, MaxUnlisted: 30 * time.Second}
 	began := time.Unix(1000, 0)
 	cases := map[string]struct {
-		story func(cen *Completeness)
+		story func(cpl *Completeness)
 		after time.Duration
 		want  bool
 	}{
 		"never read":                      {story: func(*Completeness) {}, after: time.Hour},
-		"told before the first read":      {story: func(cen *Completeness) { cen.HandlePeerComplete(began, 90) }, after: time.Second},
-		"read":                            {story: func(cen *Completeness) { cen.HandleFullRead(began, 40) }, after: cfg.RecoveryTime},
-		"read half a minute ago":          {story: func(cen *Completeness) { cen.HandleFullRead(began, 40) }, after: cfg.MaxUnlisted, want: true},
-		"another one knows as much":       {story: func(cen *Completeness) { cen.HandleFullRead(began, 40); cen.HandlePeerComplete(began, 40) }, want: true},
-		"another one has fallen behind":   {story: func(cen *Completeness) { cen.HandleFullRead(began, 40); cen.HandlePeerComplete(began, 39) }, after: time.Second},
-		"another one knows none":          {story: func(cen *Completeness) { cen.HandleFullRead(began, 40); cen.HandlePeerComplete(began, 0) }, after: time.Second},
+		"told before the first read":      {story: func(cpl *Completeness) { cpl.HandlePeerComplete(began, 90) }, after: time.Second},
+		"read":                            {story: func(cpl *Completeness) { cpl.HandleFullRead(began, 40) }, after: cfg.RecoveryTime},
+		"read half a minute ago":          {story: func(cpl *Completeness) { cpl.HandleFullRead(began, 40) }, after: cfg.MaxUnlisted, want: true},
+		"another one knows as much":       {story: func(cpl *Completeness) { cpl.HandleFullRead(began, 40); cpl.HandlePeerComplete(began, 40) }, want: true},
+		"another one has fallen behind":   {story: func(cpl *Completeness) { cpl.HandleFullRead(began, 40); cpl.HandlePeerComplete(began, 39) }, after: time.Second},
+		"another one knows none":          {story: func(cpl *Completeness) { cpl.HandleFullRead(began, 40); cpl.HandlePeerComplete(began, 0) }, after: time.Second},
 		"read again a moment later":       {story: again(time.Second), after: cfg.RecoveryTime, want: true},
 		"read again a moment later, soon": {story: again(time.Second), after: time.Second},
 		"read again after a long outage":  {story: again(10 * time.Second), after: cfg.RecoveryTime},
@@ -31,19 +31,19 @@
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
-			cen := NewCompleteness(cfg)
-			cse.story(cen)
-			chk.Equal(cen.Complete(began.Add(cse.after)), cse.want)
+			cpl := NewCompleteness(cfg)
+			cse.story(cpl)
+			chk.Equal(cpl.Complete(began.Add(cse.after)), cse.want)
 		})
 	}
 }
 
 // again reads the list in full a second time, at the time that the test begins.
-func again(pause time.Duration) func(cen *Completeness) {
-	return func(cen *Completeness) {
+func again(pause time.Duration) func(cpl *Completeness) {
+	return func(cpl *Completeness) {
 		began := time.Unix(1000, 0)
-		cen.HandleFullRead(began.Add(-pause-time.Minute), 40)
-		cen.HandleRead(began.Add(-pause))
-		cen.HandleFullRead(began, 50)
+		cpl.HandleFullRead(began.Add(-pause-time.Minute), 40)
+		cpl.HandleRead(began.Add(-pause))
+		cpl.HandleFullRead(began, 50)
 	}
 }
--- a/internal/version/serverlist/digest.go
+++ b/internal/version/serverlist/digest.go
@@ -2,30 +2,30 @@
 
 // Change is a record of the list that changed what was known of its server.
 type Change struct {
-	// Offset is the place of the record in the list.
+	// Offset is the offset of the record in the list.
 	Offset int64
 	Key    string
-	// Value is the record; nil if the server is gone.
+	// Value is the content of the record, nil if the server was removed.
 	Value []byte
 }
 
-// Digest has the changes among the records of the list from an offset on and before another one.
+// Digest has the changes among the records of the list from offset From up to, but without, offset To.
 type Digest struct {
-	// Reader is the instance that read the list.
-	Reader       string
+	// Reader is the name of the instance that read the list and wrote the digest.
+	Reader   string
 	From, To int64
 	Changes  []Change
 }
 
-// mostRecords bounds the part of the list that a digest covers: an instance that reads for all falls behind by less.
-const mostRecords = 1 << 20
+// maxRecords bounds the number of records that a digest covers; a reader is never that far behind.
+const maxRecords = 1 << 20
 
-// Problem says what is wrong with a digest, or nothing.
+// Problem describes what is wrong with a digest, or returns "".
 func (dig *Digest) Problem() string {
 	switch {
 	case dig.Reader == "":
 		return "it names no reader"
-	case dig.From < 0 || dig.To < dig.From || dig.To-dig.From > mostRecords:
+	case dig.From < 0 || dig.To < dig.From || dig.To-dig.From > maxRecords:
 		return "it covers no part of the list"
 	}
 	last := dig.From - 1
@@ -38,14 +38,14 @@
 	return ""
 }
 
-// split cuts a digest into several of which each has a bounded number of changes.
-func (dig *Digest) split(most int) []Digest {
+// split cuts a digest into consecutive ones with at most limit changes each.
+func (dig *Digest) split(limit int) []Digest {
 	var digs []Digest
 	rest := *dig
-	for len(rest.Changes) > most {
-		cut := rest.Changes[most].Offset
-		digs = append(digs, Digest{Reader: dig.Reader, From: rest.From, To: cut, Changes: rest.Changes[:most]})
-		rest.From, rest.Changes = cut, rest.Changes[most:]
+	for len(rest.Changes) > limit {
+		cut := rest.Changes[limit].Offset
+		digs = append(digs, Digest{Reader: dig.Reader, From: rest.From, To: cut, Changes: rest.Changes[:limit]})
+		rest.From, rest.Changes = cut, rest.Changes[limit:]
 	}
 	return append(digs, rest)
 }
--- a/internal/version/serverlist/doc.go
+++ b/internal/version/serverlist/doc.go
@@ -1,9 +1,9 @@
-// Package serverlist keeps an entry instance's place in the platform's list of backend servers.
+// Package serverlist keeps track of how much an instance knows of the platform's list of backend servers.
 //
-// Every heartbeat of every server is a record of that list, and few of them change anything. So one instance reads the list for
-// all and writes digests of it to a topic of the system's own; the others read those, and the list itself only when no digest
-// comes or one is missing. A digest says which part of the list it covers: what is known of the list never goes back, and a
-// part that is missing shows.
+// Every heartbeat of every backend server is a record of that list, and few of them change anything. So one instance, the reader, reads the
+// list for all and writes digests of it to a topic of the system's own. The others read the digests, and read the list itself only when no
+// digest comes or one is missing. Each digest says which part of the list it covers, so knowledge of the list never goes back, and a
+// missing part is noticed.
 //
 // The package is pure: it holds no clock, socket or goroutine.
 package serverlist
--- a/internal/version/serverlist/follower.go
+++ b/internal/version/serverlist/follower.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Config has the times that a Follower works with.
+// Config has the names and times that a Follower works with.
 type Config struct {
-	// Self is the name under which the instance writes digests.
+	// Self is the name of the own instance in the digests that it writes.
 	Self string
-	// DigestTimeout is how long no digest may come before the list is read here.
+	// DigestTimeout is how long no digest may come before the instance reads the list itself.
 	DigestTimeout time.Duration
-	// SubstituteDelay is how much longer than the one before it each further instance waits before it writes digests for the others.
+	// SubstituteDelay is how much longer each further instance waits than the one before it, until it writes digests in place of the
+	// reader.
 	SubstituteDelay time.Duration
-	// IdleInterval is the longest time between two digests, also if nothing has changed.
+	// IdleInterval is the longest time between two digests while nothing changes.
 	IdleInterval time.Duration
 }
 
-// DefaultConfig returns times with which a server that is leaving is known everywhere within two seconds, also if the instance that
-// reads the list is lost: the patience and a read of the list.
+// DefaultConfig returns times with which a leaving server is known to all instances within two seconds, also if the reader is lost:
+// DigestTimeout and a read of the list.
 func DefaultConfig(self string) Config {
 	return Config{
 		Self: self, DigestTimeout: 1200 * time.Millisecond, SubstituteDelay: 400 * time.Millisecond, IdleInterval: 700 * time.Millisecond,
@@ -26,50 +27,52 @@
 }
 
 const (
-	// substitutes is how many instances write digests in place of the first one, each in its turn.
-	substitutes = 4
-	// mostChanges bounds the changes of one digest, some 100 KB.
-	mostChanges = 200
-	unknown     = -1
+	// maxSubstitutes is how many instances, one after the other, may write digests in place of the first one.
+	maxSubstitutes = 4
+	// maxChanges bounds the changes of one digest, to some 100 KB.
+	maxChanges = 200
+	unknown    = -1
 )
 
-// Follower is an instance's place in the list. It is not safe for concurrent use.
+// Follower tracks up to which offset an instance knows the list, and which changes it is still to publish as digests. It is not safe
+// for concurrent use.
 type Follower struct {
 	cfg Config
-	// next is the offset before which everything is known.
+	// next is the offset before which all records are known.
 	next int64
-	// digestAt is when the last digest of another instance came that kept up with the list, or the follower was made; digested is
-	// the offset before which others have written digests, prior what was known before the last own read.
-	digestAt        time.Time
-	digested, prior int64
-	// covered is the offset before which others have digests; unknown after a full read, whose pages are of different times, until
-	// what was written meanwhile has been read again.
+	// lastDigestAt is when the last digest came from another reader that keeps up with the list, at first when the follower was made.
+	// othersRead is the offset before which such readers have read the list; prevNext is the value of next before the last own read.
+	lastDigestAt         time.Time
+	othersRead, prevNext int64
+	// covered is the offset before which the other instances have digests. It is unknown after a full read, whose pages are read at
+	// different times, until the records written meanwhile have been read again.
 	covered     int64
 	publishedAt time.Time
-	// changes are those from covered on.
+	// changes are the known changes from offset covered on.
 	changes []Change
 }
 
 // NewFollower returns a follower that knows nothing of the list yet.
 func NewFollower(cfg Config, now time.Time) *Follower {
-	return &Follower{cfg: cfg, next: unknown, covered: unknown, digestAt: now}
+	return &Follower{cfg: cfg, next: unknown, covered: unknown, lastDigestAt: now}
 }
 
-// NextOffset returns the offset from which on the list is to be read, negative for all of it.
+// NextOffset returns the offset from which the list is to be read on, negative if it is to be read in full.
 func (fol *Follower) NextOffset() int64 { return fol.next }
 
-// Reset notes that the list has to be read in full.
+// Reset discards all knowledge of the list, so that the next read is a full one.
 func (fol *Follower) Reset() { fol.HandleFullRead(unknown) }
 
-// HandleFullRead notes a full read, after which the list goes on at an offset.
+// HandleFullRead takes note of a full read, after which the list goes on at offset next.
 func (fol *Follower) HandleFullRead(next int64) {
-	fol.next, fol.covered, fol.changes, fol.digested = next, unknown, nil, 0
+	fol.next, fol.covered, fol.changes, fol.othersRead = next, unknown, nil, 0
 }
 
-// HandleRead notes a read of the list from one offset to another and returns how many of its records were known before.
+// HandleRead takes note of a read of the list from one offset up to another and returns how many of the first of its records were known
+// before.
 func (fol *Follower) HandleRead(from, to int64) (known int) {
 	known = int(min(max(0, fol.next-from), to-from))
-	fol.prior = fol.next
+	fol.prevNext = fol.next
 	fol.next = max(fol.next, to)
 	if fol.covered == unknown {
 		fol.covered, fol.changes = fol.next, nil
@@ -77,20 +80,20 @@
 	return known
 }
 
-// HandleChange notes a record that was just read and changed what was known of its server.
+// HandleChange adds a record that was just read, and that changed what was known of its server, to the changes to publish.
 func (fol *Follower) HandleChange(chg Change) {
 	if fol.covered != unknown && chg.Offset >= fol.covered {
 		fol.changes = append(fol.changes, chg)
 	}
 }
 
-// HandleDigest takes a digest in and returns what it changes; it reports whether the digest goes on where the knowledge of the list ends. If
-// it doesn't, a digest is missing, and the list is to be read.
+// HandleDigest takes in a digest and returns those of its changes that are new. If ok is false, the list was never read or a digest
+// before this one is missing, and the list is to be read.
 func (fol *Follower) HandleDigest(now time.Time, dig *Digest) (chgs []Change, ok bool) {
 	if fol.next == unknown || dig.From > fol.next {
 		return nil, false
 	}
-	fol.noteDigest(now, dig)
+	fol.noteOtherReader(now, dig)
 	if dig.To <= fol.next {
 		return nil, true
 	}
@@ -101,45 +104,47 @@
 	}
 	fol.next = dig.To
 	if fol.covered != unknown {
-		fol.cover(dig.To)
+		fol.markCovered(dig.To)
 	}
 	return chgs, true
 }
 
-// cover notes that the others have digests of all that lies before an offset.
-func (fol *Follower) cover(to int64) {
+// markCovered takes note that the other instances have digests of all records before an offset.
+func (fol *Follower) markCovered(to int64) {
 	fol.covered = max(fol.covered, to)
 	fol.changes = slices.DeleteFunc(fol.changes, func(chg Change) bool { return chg.Offset < fol.covered })
 }
 
-// noteDigest notes that another instance reads the list and keeps up with it: one that reads at the same time as this instance brings
-// nothing new, and would be read beside for ever.
-func (fol *Follower) noteDigest(now time.Time, dig *Digest) {
-	if dig.Reader != fol.cfg.Self && dig.To > fol.digested && dig.To >= fol.prior {
-		fol.digestAt, fol.digested = now, dig.To
+// noteOtherReader takes note that another instance reads the list and keeps up with it. Digests that bring nothing new count too: of
+// two instances that read at the same moments neither would get new records from the other, and both would go on reading for ever.
+func (fol *Follower) noteOtherReader(now time.Time, dig *Digest) {
+	if dig.Reader != fol.cfg.Self && dig.To > fol.othersRead && dig.To >= fol.prevNext {
+		fol.lastDigestAt, fol.othersRead = now, dig.To
 	}
 }
 
-// ReadDue reports whether the instance is to read the list itself; before is how many instances are to do so rather than it.
+// ReadDue reports whether the instance is to read the list itself: as the first reader, as it knows nothing of the list, or as no
+// digest came for DigestTimeout. before is how many instances precede it in the order of readers.
 func (fol *Follower) ReadDue(now time.Time, before int) bool {
-	return before == 0 || fol.next == unknown || now.Sub(fol.digestAt) > fol.cfg.DigestTimeout
+	return before == 0 || fol.next == unknown || now.Sub(fol.lastDigestAt) > fol.cfg.DigestTimeout
 }
 
-// PendingDigests returns the digests that the instance is to write now.
+// PendingDigests returns the digests that the instance is to write now: none unless it is the first reader or its turn to replace a
+// silent one, and without changes at most one each IdleInterval. before is how many instances precede it in the order of readers.
 func (fol *Follower) PendingDigests(now time.Time, before int) []Digest {
-	late := now.Sub(fol.digestAt) - fol.cfg.DigestTimeout - time.Duration(before)*fol.cfg.SubstituteDelay
-	if before > 0 && (before > substitutes || late <= 0) || fol.covered == unknown || fol.covered == fol.next {
+	late := now.Sub(fol.lastDigestAt) - fol.cfg.DigestTimeout - time.Duration(before)*fol.cfg.SubstituteDelay
+	if before > 0 && (before > maxSubstitutes || late <= 0) || fol.covered == unknown || fol.covered == fol.next {
 		return nil
 	}
 	if len(fol.changes) == 0 && now.Sub(fol.publishedAt) < fol.cfg.IdleInterval {
 		return nil
 	}
 	dig := Digest{Reader: fol.cfg.Self, From: fol.covered, To: fol.next, Changes: slices.Clone(fol.changes)}
-	return dig.split(mostChanges)
+	return dig.split(maxChanges)
 }
 
-// HandlePublished notes that a digest was written. One without an answer may be written again.
+// HandlePublished takes note that a digest was written. A digest whose write got no answer may be written again.
 func (fol *Follower) HandlePublished(now time.Time, dig *Digest) {
 	fol.publishedAt = now
-	fol.cover(dig.To)
+	fol.markCovered(dig.To)
 }
