--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -98,7 +98,7 @@
 	// services are those that a configuration has ever named here: servers of others are not spoken to.
 	services      map[string]bool
 	listReadAt    time.Time
-	census        *serverlist.Completeness
+	census        *serverlist.Coverage
 	follower      *serverlist.Follower
 	listChanges   listed
 	serversWanted chan struct{}
@@ -148,7 +148,7 @@
 		passed:  map[shard.InstanceID]time.Time{},
 		reaches: map[shard.Name]*succession.Reachability{}, openWith: map[shard.InstanceID]bool{},
 		follower:      serverlist.NewFollower(serverlist.DefaultConfig(prm.Settings.Instance), prm.Now()),
-		census:        serverlist.NewCompleteness(serverlist.CompletenessConfig{RecoveryTime: entriesReturn, MaxUnlisted: missingFor}),
+		census:        serverlist.NewCoverage(serverlist.CoverageConfig{RecoveryTime: entriesReturn, MaxUnlisted: missingFor}),
 		serversWanted: make(chan struct{}, 1),
 		joined:        make(chan struct{}), configured: make(chan struct{}),
 	}
--- a/internal/process/succession/explore_node_test.go
+++ b/internal/process/succession/explore_node_test.go
@@ -35,7 +35,7 @@
 	entries                             map[shard.ServerID]shard.ServerEntry
 	missing                             map[shard.ServerID]shard.ServerEntry
 	listReadAt                          time.Time
-	census                              *serverlist.Completeness
+	census                              *serverlist.Coverage
 	// listedTo is the offset of the last read of the list.
 	listedTo       int64
 	local          []func()
@@ -83,7 +83,7 @@
 		inbox: map[string][]func(){}, ldrs: map[shard.Name]*shard.Leader{}, upl: shard.NewUplink(0),
 		sessions: map[string]*session{}, calls: map[submission.Call]*attempt{}, openWith: map[shard.InstanceID]bool{},
 		entries: map[shard.ServerID]shard.ServerEntry{}, missing: map[shard.ServerID]shard.ServerEntry{}, reaches: map[shard.Name]*Reachability{},
-		checked: ply.now, census: serverlist.NewCompleteness(serverlist.CompletenessConfig{RecoveryTime: entryReturn, MaxUnlisted: missingFor}),
+		checked: ply.now, census: serverlist.NewCoverage(serverlist.CoverageConfig{RecoveryTime: entryReturn, MaxUnlisted: missingFor}),
 	}
 	nod.dsk = submission.NewDesk(submission.Config{
 		Self: nod.id, Domain: domain, Proof: proof, RetryAfter: time.Second, Vacancy: 1500 * time.Millisecond, Link: nod.upl,
--- a/internal/version/config/config.go
+++ b/internal/version/config/config.go
@@ -104,8 +104,8 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// Match returns the route with the longest prefix of a path among those of a host, given with or without a port; ok is false if there
-// is none.
+// Match returns the route with the longest prefix of a path among those of a host, given with or without a port, and whether there is
+// one.
 func (cfg *Configuration) Match(host, path string) (Route, bool) {
 	if nam, _, err := net.SplitHostPort(host); err == nil {
 		host = nam
--- a/internal/version/serverlist/completeness.go
+++ b/internal/version/serverlist/coverage.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Completeness tells whether an instance's copy of the list has every backend server that may be running. Entries expire while their
+// Coverage tells whether an instance's copy of the list has every backend server that may be running. Entries expire while their
 // servers are partitioned from the store, and the leaders that know those servers from before go on leading them; an instance that
 // reads the list for the first time then has never heard of them.
 //
 // It is not safe for concurrent use.
-type Completeness struct {
-	cfg CompletenessConfig
+type Coverage struct {
+	cfg CoverageConfig
 	// next is the offset after the last full read, negative before the first one; readAt is when the list was last read.
 	next   int64
 	readAt time.Time
-	// completeAt is from when on the copy is complete, unless another full read comes first.
-	completeAt time.Time
+	// since is from when on the copy is complete, unless another full read comes first.
+	since time.Time
 }
 
-// CompletenessConfig has the times that a Completeness works with.
-type CompletenessConfig struct {
+// CoverageConfig has the times that a Coverage works with.
+type CoverageConfig struct {
 	// RecoveryTime is how long after the store is available again the entries of all running servers are back in the list and have been
 	// read.
 	RecoveryTime time.Duration
@@ -25,36 +25,32 @@
 	MaxUnlisted time.Duration
 }
 
-// NewCompleteness returns the state of an instance that has not read the list yet.
-func NewCompleteness(cfg CompletenessConfig) *Completeness {
-	return &Completeness{cfg: cfg, next: unknown}
-}
+// NewCoverage returns the state of an instance that has not read the list yet.
+func NewCoverage(cfg CoverageConfig) *Coverage { return &Coverage{cfg: cfg, next: unknown} }
 
 // HandleFullRead takes note of a full read that ended at now, after which the list goes on at offset next. The copy is then complete
 // after MaxUnlisted; or after RecoveryTime, if it was complete and last read at most RecoveryTime ago: a server that this read has
 // missed can then only have come and gone since.
-func (cpl *Completeness) HandleFullRead(now time.Time, next int64) {
-	wait := cpl.cfg.MaxUnlisted
-	if cpl.Complete(now) && now.Sub(cpl.readAt) <= cpl.cfg.RecoveryTime {
-		wait = cpl.cfg.RecoveryTime
+func (cvg *Coverage) HandleFullRead(now time.Time, next int64) {
+	wait := cvg.cfg.MaxUnlisted
+	if cvg.Complete(now) && now.Sub(cvg.readAt) <= cvg.cfg.RecoveryTime {
+		wait = cvg.cfg.RecoveryTime
 	}
-	cpl.next, cpl.readAt, cpl.completeAt = next, now, now.Add(wait)
+	cvg.next, cvg.readAt, cvg.since = next, now, now.Add(wait)
 }
 
 // HandleRead takes note of a read of the records since the read before.
-func (cpl *Completeness) HandleRead(now time.Time) { cpl.readAt = now }
+func (cvg *Coverage) HandleRead(now time.Time) { cvg.readAt = now }
 
 // HandlePeerComplete takes note that another instance knows every server that may be running, up to the offset to, and that each of
 // them has an entry. It reports whether the own copy is complete by that and wasn't before.
-func (cpl *Completeness) HandlePeerComplete(now time.Time, to int64) bool {
-	if cpl.next < 0 || to < cpl.next || cpl.Complete(now) {
+func (cvg *Coverage) HandlePeerComplete(now time.Time, to int64) bool {
+	if cvg.next < 0 || to < cvg.next || cvg.Complete(now) {
 		return false
 	}
-	cpl.completeAt = now
+	cvg.since = now
 	return true
 }
 
 // Complete reports whether the copy, together with the servers known from before, has every server that may be running.
-func (cpl *Completeness) Complete(now time.Time) bool {
-	return cpl.next >= 0 && !now.Before(cpl.completeAt)
-}
+func (cvg *Coverage) Complete(now time.Time) bool { return cvg.next >= 0 && !now.Before(cvg.since) }
--- a/internal/version/serverlist/digest.go
+++ b/internal/version/serverlist/digest.go
@@ -26,12 +26,12 @@
 	case dig.Reader == "":
 		return "it names no reader"
 	case dig.From < 0 || dig.To < dig.From || dig.To-dig.From > maxRecords:
-		return "it covers no part of the list"
+		return "its range of offsets is invalid or too long"
 	}
 	last := dig.From - 1
 	for _, chg := range dig.Changes {
 		if chg.Key == "" || chg.Offset <= last || chg.Offset >= dig.To {
-			return "a change is out of order or not in its part of the list"
+			return "a change has no key, is out of order or is outside the range of offsets"
 		}
 		last = chg.Offset
 	}
