--- a/internal/process/succession/explore_story_test.go
+++ b/internal/process/succession/explore_story_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// TestFormerLeaderIsHeardWhenOrdersFollow guards against a task that runs twice: its owner follows a new leader at the moment in which the
+// TestReassignedOrdersDoNotRunTwice guards against a task that runs twice: its owner follows a new leader at the moment in which the
 // ways to the former one and from there to a server break, one after the other, and the new leader's proof by time is too short.
-func TestFormerLeaderIsHeardWhenOrdersFollow(t *testing.T) {
+func TestReassignedOrdersDoNotRunTwice(t *testing.T) {
 	for late := time.Duration(0); late <= 800*time.Millisecond; late += 25 * time.Millisecond {
 		t.Run(fmt.Sprint("the way to the server breaks after ", late), func(t *testing.T) {
 			chk := is.New(t)
--- a/internal/process/succession/succession_test.go
+++ b/internal/process/succession/succession_test.go
@@ -18,7 +18,7 @@
 	return ents
 }
 
-func TestNewcomersFollowTheDivision(t *testing.T) {
+func TestStartedInstancesAdoptTheDivision(t *testing.T) {
 	// A failure domain has grown from 17 servers in two shards to 24. An instance that starts anew would cut
 	// three shards; it and the old ones then took servers from each other every few seconds, and callers
 	// were refused. It follows the division that the others have acted on.
--- a/internal/version/domainlist/list_test.go
+++ b/internal/version/domainlist/list_test.go
@@ -18,33 +18,33 @@
 
 func TestList(t *testing.T) {
 	cases := map[string]struct {
-		play func(lst *List)
-		want View
+		updates func(lst *List)
+		want    View
 	}{
 		"nothing was read": {
-			play: func(*List) {},
-			want: View{End: -1},
+			updates: func(*List) {},
+			want:    View{End: -1},
 		},
 		"closed before the instance started": {
-			play: func(lst *List) { lst.ApplySnapshot([]Record{closing(3, "a")}, 9) },
-			want: View{End: 9, Closed: []string{"a"}},
+			updates: func(lst *List) { lst.ApplySnapshot([]Record{closing(3, "a")}, 9) },
+			want:    View{End: 9, Closed: []string{"a"}},
 		},
 		"closed and opened in one read": {
-			play: func(lst *List) {
+			updates: func(lst *List) {
 				lst.ApplySnapshot(nil, 3)
 				lst.ApplyRecords([]Record{closing(3, "a"), opening(4, "a")}, 5)
 			},
 			want: View{End: 5},
 		},
 		"two at once": {
-			play: func(lst *List) {
+			updates: func(lst *List) {
 				lst.ApplySnapshot(nil, 3)
 				lst.ApplyRecords([]Record{closing(3, "a"), closing(4, "b")}, 5)
 			},
 			want: View{End: 5, Closed: []string{"a", "b"}},
 		},
 		"a late full read does not open what was closed since": {
-			play: func(lst *List) {
+			updates: func(lst *List) {
 				lst.ApplySnapshot(nil, 3)
 				lst.ApplyRecords([]Record{closing(3, "a")}, 4)
 				lst.ApplySnapshot(nil, 2)
@@ -52,7 +52,7 @@
 			want: View{End: 4, Closed: []string{"a"}},
 		},
 		"records that are read again change nothing": {
-			play: func(lst *List) {
+			updates: func(lst *List) {
 				lst.ApplySnapshot(nil, 0)
 				lst.ApplyRecords([]Record{closing(0, "a"), opening(1, "a")}, 2)
 				lst.ApplyRecords([]Record{closing(0, "a")}, 1)
@@ -60,7 +60,7 @@
 			want: View{End: 2},
 		},
 		"opened while the history was dropped": {
-			play: func(lst *List) {
+			updates: func(lst *List) {
 				lst.ApplySnapshot(nil, 0)
 				lst.ApplyRecords([]Record{closing(0, "a")}, 1)
 				lst.ApplySnapshot(nil, 7)
@@ -68,7 +68,7 @@
 			want: View{End: 7},
 		},
 		"still closed after the history was dropped": {
-			play: func(lst *List) {
+			updates: func(lst *List) {
 				lst.ApplySnapshot(nil, 0)
 				lst.ApplyRecords([]Record{closing(0, "a")}, 1)
 				lst.ApplySnapshot([]Record{closing(0, "a")}, 7)
@@ -76,14 +76,14 @@
 			want: View{End: 7, Closed: []string{"a"}},
 		},
 		"a peer knows more": {
-			play: func(lst *List) {
+			updates: func(lst *List) {
 				lst.ApplySnapshot([]Record{closing(0, "a")}, 2)
 				lst.Merge(View{End: 5, Closed: []string{"b"}})
 			},
 			want: View{End: 5, Closed: []string{"b"}},
 		},
 		"a peer knows less": {
-			play: func(lst *List) {
+			updates: func(lst *List) {
 				lst.ApplySnapshot([]Record{closing(0, "a")}, 2)
 				lst.Merge(View{End: 1})
 				lst.Merge(View{End: -1})
@@ -91,7 +91,7 @@
 			want: View{End: 2, Closed: []string{"a"}},
 		},
 		"a peer went ahead of the own reading": {
-			play: func(lst *List) {
+			updates: func(lst *List) {
 				lst.ApplySnapshot(nil, 2)
 				lst.Merge(View{End: 4})
 				lst.ApplyRecords([]Record{closing(2, "a"), opening(3, "a"), closing(4, "b")}, 5)
@@ -99,15 +99,15 @@
 			want: View{End: 5, Closed: []string{"b"}},
 		},
 		"no name": {
-			play: func(lst *List) { lst.ApplySnapshot([]Record{closing(0, "")}, 1) },
-			want: View{End: 1},
+			updates: func(lst *List) { lst.ApplySnapshot([]Record{closing(0, "")}, 1) },
+			want:    View{End: 1},
 		},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
 			lst := New([]string{"a", "b"})
-			cse.play(lst)
+			cse.updates(lst)
 			chk.Equal(lst.View().End, cse.want.End)
 			chk.True(slices.Equal(lst.View().Closed, cse.want.Closed))
 		})
--- a/internal/version/serverlist/coverage_test.go
+++ b/internal/version/serverlist/coverage_test.go
@@ -7,32 +7,32 @@
 	"github.com/matryer/is"
 )
 
-// TestFirstReadMayBeShort guards against an instance that takes its first read of the list for all servers, while the entries of some that
+// TestFirstReadMayBeIncomplete guards against an instance that takes its first read of the list for all servers, while the entries of some that
 // live have lapsed.
-func TestFirstReadMayBeShort(t *testing.T) {
+func TestFirstReadMayBeIncomplete(t *testing.T) {
 	cfg := CoverageConfig{RecoveryTime: 2500 * time.Millisecond, MaxUnlisted: 30 * time.Second}
 	began := time.Unix(1000, 0)
 	cases := map[string]struct {
-		story func(cvg *Coverage)
-		after time.Duration
-		want  bool
+		events func(cvg *Coverage)
+		after  time.Duration
+		want   bool
 	}{
-		"never read":                      {story: func(*Coverage) {}, after: time.Hour},
-		"told before the first read":      {story: func(cvg *Coverage) { cvg.HandlePeerComplete(began, 90) }, after: time.Second},
-		"read":                            {story: func(cvg *Coverage) { cvg.HandleFullRead(began, 40) }, after: cfg.RecoveryTime},
-		"read half a minute ago":          {story: func(cvg *Coverage) { cvg.HandleFullRead(began, 40) }, after: cfg.MaxUnlisted, want: true},
-		"another one knows as much":       {story: func(cvg *Coverage) { cvg.HandleFullRead(began, 40); cvg.HandlePeerComplete(began, 40) }, want: true},
-		"another one has fallen behind":   {story: func(cvg *Coverage) { cvg.HandleFullRead(began, 40); cvg.HandlePeerComplete(began, 39) }, after: time.Second},
-		"another one knows none":          {story: func(cvg *Coverage) { cvg.HandleFullRead(began, 40); cvg.HandlePeerComplete(began, 0) }, after: time.Second},
-		"read again a moment later":       {story: again(time.Second), after: cfg.RecoveryTime, want: true},
-		"read again a moment later, soon": {story: again(time.Second), after: time.Second},
-		"read again after a long outage":  {story: again(10 * time.Second), after: cfg.RecoveryTime},
+		"never read":                      {events: func(*Coverage) {}, after: time.Hour},
+		"told before the first read":      {events: func(cvg *Coverage) { cvg.HandlePeerComplete(began, 90) }, after: time.Second},
+		"read":                            {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40) }, after: cfg.RecoveryTime},
+		"read half a minute ago":          {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40) }, after: cfg.MaxUnlisted, want: true},
+		"another one knows as much":       {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40); cvg.HandlePeerComplete(began, 40) }, want: true},
+		"another one has fallen behind":   {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40); cvg.HandlePeerComplete(began, 39) }, after: time.Second},
+		"another one knows none":          {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40); cvg.HandlePeerComplete(began, 0) }, after: time.Second},
+		"read again a moment later":       {events: again(time.Second), after: cfg.RecoveryTime, want: true},
+		"read again a moment later, soon": {events: again(time.Second), after: time.Second},
+		"read again after a long outage":  {events: again(10 * time.Second), after: cfg.RecoveryTime},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
 			cvg := NewCoverage(cfg)
-			cse.story(cvg)
+			cse.events(cvg)
 			chk.Equal(cvg.Complete(began.Add(cse.after)), cse.want)
 		})
 	}
--- a/internal/version/serverlist/follower_test.go
+++ b/internal/version/serverlist/follower_test.go
@@ -15,7 +15,7 @@
 
 func newTestFollower() *Follower { return NewFollower(DefaultConfig("self"), began) }
 
-func TestTake(t *testing.T) {
+func TestHandleDigest(t *testing.T) {
 	cases := map[string]struct {
 		dig     Digest
 		changes int
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestWhoReads(t *testing.T) {
+func TestReaderSelection(t *testing.T) {
 	cases := map[string]struct {
 		before  int
 		quiet   time.Duration
@@ -70,7 +70,7 @@
 }
 
 // Two instances that read the list at the same moments take each other's digests for no news, and both read it for ever.
-func TestReaderThatKeepsUpIsRelieved(t *testing.T) {
+func TestSecondReaderStops(t *testing.T) {
 	chk := is.New(t)
 	fol := newTestFollower()
 	fol.HandleFullRead(10)
@@ -90,7 +90,7 @@
 }
 
 // A change between two pages of a full read is no change to who has read it, and is missing for all others.
-func TestFirstReadAfterAFullOneIsNotPassedOn(t *testing.T) {
+func TestFirstReadAfterFullReadIsNotPublished(t *testing.T) {
 	chk := is.New(t)
 	fol := newTestFollower()
 	fol.HandleFullRead(10)
@@ -103,7 +103,7 @@
 }
 
 // A digest that is not written is tried again with the next read, and nothing of it is lost.
-func TestDigestThatIsNotWritten(t *testing.T) {
+func TestUnwrittenDigestIsRetried(t *testing.T) {
 	chk := is.New(t)
 	fol := newTestFollower()
 	fol.HandleFullRead(10)
@@ -162,38 +162,38 @@
 	}
 }
 
-// pool is a list of servers with some instances that follow it, and lose digests.
-type pool struct {
-	log     []Change
-	fols    []*Follower
-	known   []map[string]string
-	digests []Digest
-	taken   []int
+// cluster is a list of servers with some instances that follow it, and lose digests.
+type cluster struct {
+	log      []Change
+	fols     []*Follower
+	known    []map[string]string
+	digests  []Digest
+	consumed []int
 }
 
-func (pol *pool) apply(num int, chg *Change) bool {
-	was, had := pol.known[num][chg.Key]
+func (cls *cluster) apply(num int, chg *Change) bool {
+	was, had := cls.known[num][chg.Key]
 	if chg.Value == nil {
-		delete(pol.known[num], chg.Key)
+		delete(cls.known[num], chg.Key)
 		return had
 	}
-	pol.known[num][chg.Key] = string(chg.Value)
+	cls.known[num][chg.Key] = string(chg.Value)
 	return !had || was != string(chg.Value)
 }
 
-func (pol *pool) read(num int) {
-	fol := pol.fols[num]
-	from, end := fol.NextOffset(), int64(len(pol.log))
+func (cls *cluster) read(num int) {
+	fol := cls.fols[num]
+	from, end := fol.NextOffset(), int64(len(cls.log))
 	if from < 0 {
 		// The pages are of different times: what is read is newer than the place that is told.
-		pol.known[num] = state(pol.log)
+		cls.known[num] = state(cls.log)
 		fol.HandleFullRead(max(0, end-2))
 		return
 	}
 	known := fol.HandleRead(from, end)
 	for idx := from + int64(known); idx < end; idx++ {
-		if pol.apply(num, &pol.log[idx]) {
-			fol.HandleChange(pol.log[idx])
+		if cls.apply(num, &cls.log[idx]) {
+			fol.HandleChange(cls.log[idx])
 		}
 	}
 }
@@ -215,65 +215,65 @@
 func TestFollowersAgreeWithTheList(t *testing.T) {
 	rapid.Check(t, func(rpd *rapid.T) {
 		const instances = 3
-		pol := &pool{taken: make([]int, instances)}
+		cls := &cluster{consumed: make([]int, instances)}
 		for num := range instances {
-			pol.fols = append(pol.fols, NewFollower(DefaultConfig(fmt.Sprint("instance-", num)), began))
-			pol.known = append(pol.known, map[string]string{})
+			cls.fols = append(cls.fols, NewFollower(DefaultConfig(fmt.Sprint("instance-", num)), began))
+			cls.known = append(cls.known, map[string]string{})
 		}
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(rpd, "seed"), 1))
 		now := began
 		for range 200 {
 			now = now.Add(time.Duration(rnd.IntN(400)) * time.Millisecond)
-			pol.step(rnd, now)
+			cls.step(rnd, now)
 		}
-		end := int64(len(pol.log))
-		for num, fol := range pol.fols {
+		end := int64(len(cls.log))
+		for num, fol := range cls.fols {
 			for fol.NextOffset() < end {
-				pol.read(num)
+				cls.read(num)
 			}
-			if !maps.Equal(pol.known[num], state(pol.log)) {
-				rpd.Fatalf("instance %d knows %v, the list says %v", num, pol.known[num], state(pol.log))
+			if !maps.Equal(cls.known[num], state(cls.log)) {
+				rpd.Fatalf("instance %d knows %v, the list says %v", num, cls.known[num], state(cls.log))
 			}
 		}
 	})
 }
 
-func (pol *pool) step(rnd *rand.Rand, now time.Time) {
-	num := rnd.IntN(len(pol.fols))
-	fol := pol.fols[num]
+func (cls *cluster) step(rnd *rand.Rand, now time.Time) {
+	num := rnd.IntN(len(cls.fols))
+	fol := cls.fols[num]
 	switch rnd.IntN(5) {
 	case 0, 1:
-		chg := Change{Offset: int64(len(pol.log)), Key: fmt.Sprint("server-", rnd.IntN(4))}
+		chg := Change{Offset: int64(len(cls.log)), Key: fmt.Sprint("server-", rnd.IntN(4))}
 		if rnd.IntN(4) > 0 {
 			chg.Value = fmt.Append(nil, rnd.IntN(2))
 		}
-		pol.log = append(pol.log, chg)
+		cls.log = append(cls.log, chg)
 	case 2:
-		pol.read(num)
+		cls.read(num)
 	case 3:
 		for _, dig := range fol.PendingDigests(now, rnd.IntN(3)) {
-			pol.digests = append(pol.digests, dig)
+			cls.digests = append(cls.digests, dig)
 			if rnd.IntN(4) > 0 { // Else the answer is lost.
 				fol.HandlePublished(now, &dig)
 			}
 		}
 	case 4:
-		pol.take(num, now, rnd)
+		cls.consume(num, now, rnd)
 	}
 }
 
-func (pol *pool) take(num int, now time.Time, rnd *rand.Rand) {
+func (cls *cluster) consume(num int, now time.Time, rnd *rand.Rand) {
 	if rnd.IntN(20) == 0 {
-		pol.fols[num].Reset()
+		cls.fols[num].Reset()
 		return
 	}
-	if pol.taken[num] >= len(pol.digests) {
+	if cls.consumed[num] >= len(cls.digests) {
 		return
 	}
-	dig := pol.digests[pol.taken[num]]
-	pol.taken[num]++
-	chgs, _ := pol.fols[num].HandleDigest(now, &dig)
+	dig := cls.digests[cls.consumed[num]]
+	cls.consumed[num]++
+	chgs, _ := cls.fols[num].HandleDigest(now, &dig)
 	for idx := range chgs {
-		pol.apply(num, &chgs[idx])
+		cls.apply(num, &chgs[idx])
 	}
 }
