--- a/internal/version/domainlist/list_test.go
+++ b/internal/version/domainlist/list_test.go
@@ -21,11 +21,11 @@
 		updates func(lst *List)
 		want    View
 	}{
-		"nothing was read": {
+		"nothing read": {
 			updates: func(*List) {},
 			want:    View{End: -1},
 		},
-		"closed before the instance started": {
+		"closed before the first read": {
 			updates: func(lst *List) { lst.ApplySnapshot([]Record{closing(3, "a")}, 9) },
 			want:    View{End: 9, Closed: []string{"a"}},
 		},
@@ -36,14 +36,14 @@
 			},
 			want: View{End: 5},
 		},
-		"two at once": {
+		"two closed in one read": {
 			updates: func(lst *List) {
 				lst.ApplySnapshot(nil, 3)
 				lst.ApplyRecords([]Record{closing(3, "a"), closing(4, "b")}, 5)
 			},
 			want: View{End: 5, Closed: []string{"a", "b"}},
 		},
-		"a late full read does not open what was closed since": {
+		"a late snapshot does not open a domain closed after it": {
 			updates: func(lst *List) {
 				lst.ApplySnapshot(nil, 3)
 				lst.ApplyRecords([]Record{closing(3, "a")}, 4)
@@ -51,7 +51,7 @@
 			},
 			want: View{End: 4, Closed: []string{"a"}},
 		},
-		"records that are read again change nothing": {
+		"records read again have no effect": {
 			updates: func(lst *List) {
 				lst.ApplySnapshot(nil, 0)
 				lst.ApplyRecords([]Record{closing(0, "a"), opening(1, "a")}, 2)
@@ -59,7 +59,7 @@
 			},
 			want: View{End: 2},
 		},
-		"opened while the history was dropped": {
+		"opened while the log was truncated": {
 			updates: func(lst *List) {
 				lst.ApplySnapshot(nil, 0)
 				lst.ApplyRecords([]Record{closing(0, "a")}, 1)
@@ -67,7 +67,7 @@
 			},
 			want: View{End: 7},
 		},
-		"still closed after the history was dropped": {
+		"still closed after the log was truncated": {
 			updates: func(lst *List) {
 				lst.ApplySnapshot(nil, 0)
 				lst.ApplyRecords([]Record{closing(0, "a")}, 1)
@@ -90,7 +90,7 @@
 			},
 			want: View{End: 2, Closed: []string{"a"}},
 		},
-		"a peer went ahead of the own reading": {
+		"a peer is ahead of the own reads": {
 			updates: func(lst *List) {
 				lst.ApplySnapshot(nil, 2)
 				lst.Merge(View{End: 4})
@@ -114,7 +114,7 @@
 	}
 }
 
-// Somebody writes closings of thousands of domains that do not exist, and memory and batches grow without a bound.
+// Guards against memory and batches that grow without bound when someone writes closings of thousands of domains that don't exist.
 func TestClosingsOfManyUnknownDomains(t *testing.T) {
 	chk := is.New(t)
 	lst := New([]string{"a"})
@@ -128,7 +128,8 @@
 	chk.Equal(lst.RefusedClosings(), int64(10_000-MaxUnknownDomains))
 }
 
-// Instances read the log in parts, late and again, and take over what others know; each that has come to the end knows what the log says.
+// Guards against an instance that has read the log to its end but knows something else than its content, after partial, late and
+// repeated reads and merges of the views of others.
 func TestListsAgreeWithTheLog(t *testing.T) {
 	domains := []string{"a", "b", "c"}
 	rapid.Check(t, func(rpd *rapid.T) {
@@ -144,7 +145,7 @@
 					Offset: end, Domain: rapid.SampledFrom(domains).Draw(rpd, "domain"), Closed: rapid.Bool().Draw(rpd, "closed"),
 				})
 			case 1:
-				// The answer may be of a replica that lags.
+				// The answer may come from a lagging replica.
 				end = rapid.Int64Range(0, end).Draw(rpd, "end")
 				lst.ApplySnapshot(newest(log[:end]), end)
 				nexts[num] = end
@@ -160,12 +161,13 @@
 		for num, lst := range lsts {
 			lst.ApplySnapshot(newest(log), int64(len(log)))
 			if want := state(log); !maps.Equal(lst.closed, want) {
-				rpd.Fatalf("instance %d knows %v, the log says %v", num, lst.closed, want)
+				rpd.Fatalf("instance %d knows %v, the content of the log is %v", num, lst.closed, want)
 			}
 		}
 	})
 }
 
+// newest returns the newest records of the closed domains.
 func newest(log []Record) []Record {
 	var recs []Record
 	for dom := range state(log) {
@@ -174,6 +176,7 @@
 	return recs
 }
 
+// state returns the domains that are closed after all records of the log.
 func state(log []Record) map[string]bool {
 	stt := map[string]bool{}
 	for _, rec := range log {
--- a/internal/version/serverlist/coverage_test.go
+++ b/internal/version/serverlist/coverage_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestFirstReadMayBeIncomplete guards against an instance that takes its first read of the list for all servers, while the entries of some that
-// live have lapsed.
+// TestFirstReadMayBeIncomplete guards against an instance that takes its first read of the list for complete, although the entries of
+// some running servers have expired.
 func TestFirstReadMayBeIncomplete(t *testing.T) {
 	cfg := CoverageConfig{RecoveryTime: 2500 * time.Millisecond, MaxUnlisted: 30 * time.Second}
 	began := time.Unix(1000, 0)
@@ -17,16 +17,16 @@
 		after  time.Duration
 		want   bool
 	}{
-		"never read":                      {events: func(*Coverage) {}, after: time.Hour},
-		"told before the first read":      {events: func(cvg *Coverage) { cvg.HandlePeerComplete(began, 90) }, after: time.Second},
-		"read":                            {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40) }, after: cfg.RecoveryTime},
-		"read half a minute ago":          {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40) }, after: cfg.MaxUnlisted, want: true},
-		"another one knows as much":       {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40); cvg.HandlePeerComplete(began, 40) }, want: true},
-		"another one has fallen behind":   {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40); cvg.HandlePeerComplete(began, 39) }, after: time.Second},
-		"another one knows none":          {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40); cvg.HandlePeerComplete(began, 0) }, after: time.Second},
-		"read again a moment later":       {events: again(time.Second), after: cfg.RecoveryTime, want: true},
-		"read again a moment later, soon": {events: again(time.Second), after: time.Second},
-		"read again after a long outage":  {events: again(10 * time.Second), after: cfg.RecoveryTime},
+		"never read":                           {events: func(*Coverage) {}, after: time.Hour},
+		"peer complete, before the first read": {events: func(cvg *Coverage) { cvg.HandlePeerComplete(began, 90) }, after: time.Second},
+		"read":                                 {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40) }, after: cfg.RecoveryTime},
+		"read half a minute ago":               {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40) }, after: cfg.MaxUnlisted, want: true},
+		"complete peer at the same offset":     {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40); cvg.HandlePeerComplete(began, 40) }, want: true},
+		"complete peer one record behind":      {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40); cvg.HandlePeerComplete(began, 39) }, after: time.Second},
+		"peer that isn't complete":             {events: func(cvg *Coverage) { cvg.HandleFullRead(began, 40); cvg.HandlePeerComplete(began, 0) }, after: time.Second},
+		"read again, recovery time over":       {events: again(time.Second), after: cfg.RecoveryTime, want: true},
+		"read again, recovery time not over":   {events: again(time.Second), after: time.Second},
+		"read again after a long outage":       {events: again(10 * time.Second), after: cfg.RecoveryTime},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// again reads the list in full a second time, at the time that the test begins.
+// again reads the list in full twice, the second time when the test begins, a pause after the last read.
 func again(pause time.Duration) func(cvg *Coverage) {
 	return func(cvg *Coverage) {
 		began := time.Unix(1000, 0)
--- a/internal/version/serverlist/follower_test.go
+++ b/internal/version/serverlist/follower_test.go
@@ -22,11 +22,11 @@
 		ok      bool
 		next    int64
 	}{
-		"goes on where the knowledge ends":      {Digest{Reader: "one", From: 10, To: 14, Changes: []Change{{12, "s", nil}}}, 1, true, 14},
-		"is known already":                      {Digest{Reader: "one", From: 4, To: 8, Changes: []Change{{5, "s", nil}}}, 0, true, 10},
-		"is known in part":                      {Digest{Reader: "one", From: 4, To: 12, Changes: []Change{{5, "s", nil}, {11, "s", nil}}}, 1, true, 12},
-		"one before it is missing":              {Digest{Reader: "one", From: 11, To: 12}, 0, false, 10},
-		"an older one comes late, with changes": {Digest{Reader: "one", From: 0, To: 10, Changes: []Change{{9, "s", nil}}}, 0, true, 10},
+		"begins at the next offset":              {Digest{Reader: "one", From: 10, To: 14, Changes: []Change{{12, "s", nil}}}, 1, true, 14},
+		"known already":                          {Digest{Reader: "one", From: 4, To: 8, Changes: []Change{{5, "s", nil}}}, 0, true, 10},
+		"known in part":                          {Digest{Reader: "one", From: 4, To: 12, Changes: []Change{{5, "s", nil}, {11, "s", nil}}}, 1, true, 12},
+		"a digest before it is missing":          {Digest{Reader: "one", From: 11, To: 12}, 0, false, 10},
+		"known already, ends at the next offset": {Digest{Reader: "one", From: 0, To: 10, Changes: []Change{{9, "s", nil}}}, 0, true, 10},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -48,11 +48,11 @@
 		reads   bool
 		digests int
 	}{
-		"the first reads and writes":                           {before: 0, reads: true, digests: 1},
-		"another one leaves it to the first":                   {before: 3},
-		"nothing has come for a while, the second in its turn": {before: 1, quiet: 1700 * time.Millisecond, reads: true, digests: 1},
-		"the fourth waits for those before it to write":        {before: 3, quiet: 1700 * time.Millisecond, reads: true},
-		"the last ones read for themselves only":               {before: 90, quiet: time.Hour, reads: true},
+		"the first one reads and publishes":                 {before: 0, reads: true, digests: 1},
+		"another one relies on the first":                   {before: 3},
+		"no digests for 1.7 s, the second one takes over":   {before: 1, quiet: 1700 * time.Millisecond, reads: true, digests: 1},
+		"no digests for 1.7 s, the fourth one only reads":   {before: 3, quiet: 1700 * time.Millisecond, reads: true},
+		"beyond the substitutes, reads but never publishes": {before: 90, quiet: time.Hour, reads: true},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -69,7 +69,8 @@
 	}
 }
 
-// Two instances that read the list at the same moments take each other's digests for no news, and both read it for ever.
+// Guards against two instances that read the list at the same moments and both go on for ever, as neither gets anything new from the
+// digests of the other.
 func TestSecondReaderStops(t *testing.T) {
 	chk := is.New(t)
 	fol := newTestFollower()
@@ -81,7 +82,7 @@
 		fol.HandleDigest(now, &Digest{Reader: "first", From: from, To: from + 2})
 		now = now.Add(400 * time.Millisecond)
 	}
-	// One that falls behind relieves nobody.
+	// A reader that falls behind does not stop the second one.
 	fol.HandleRead(20, 40)
 	fol.HandleRead(40, 60)
 	now = now.Add(time.Minute)
@@ -89,7 +90,8 @@
 	chk.True(fol.ReadDue(now, 1))
 }
 
-// A change between two pages of a full read is no change to who has read it, and is missing for all others.
+// Guards against a change that no digest has: one between two pages of a full read is known to the reader from that read, so the next
+// read doesn't count it as a change.
 func TestFirstReadAfterFullReadIsNotPublished(t *testing.T) {
 	chk := is.New(t)
 	fol := newTestFollower()
@@ -102,7 +104,7 @@
 	chk.Equal(digs[0].From, int64(20))
 }
 
-// A digest that is not written is tried again with the next read, and nothing of it is lost.
+// Guards against changes lost with a digest whose write failed: the next one has to begin at the same offset and have them too.
 func TestUnwrittenDigestIsRetried(t *testing.T) {
 	chk := is.New(t)
 	fol := newTestFollower()
@@ -120,7 +122,8 @@
 	chk.Equal(len(fol.PendingDigests(began, 0)), 0)
 }
 
-// Digests that are still to be written lose their changes when the first one is.
+// Guards against pending digests that share memory with the follower's changes: publishing the first one then removes changes from the
+// others.
 func TestManyChangesGoIntoSeveralDigests(t *testing.T) {
 	chk := is.New(t)
 	fol := newTestFollower()
@@ -145,32 +148,34 @@
 		dig  Digest
 		fine bool
 	}{
-		"nothing has changed":      {Digest{Reader: "one", From: 3, To: 9}, true},
-		"changes in order":         {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{3, "a", nil}, {8, "b", nil}}}, true},
-		"by nobody":                {Digest{From: 3, To: 9}, false},
-		"goes back":                {Digest{Reader: "one", From: 9, To: 3}, false},
-		"negative":                 {Digest{Reader: "one", From: -1, To: 3}, false},
-		"jumps far ahead":          {Digest{Reader: "one", From: 3, To: 1 << 60}, false},
-		"a change from before it":  {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{2, "a", nil}}}, false},
-		"a change from after it":   {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{9, "a", nil}}}, false},
-		"changes out of order":     {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{5, "a", nil}, {4, "b", nil}}}, false},
-		"a change without a name":  {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{5, "", nil}}}, false},
-		"two changes at one place": {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{5, "a", nil}, {5, "b", nil}}}, false},
+		"no changes":                {Digest{Reader: "one", From: 3, To: 9}, true},
+		"changes in order":          {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{3, "a", nil}, {8, "b", nil}}}, true},
+		"no reader":                 {Digest{From: 3, To: 9}, false},
+		"ends before it begins":     {Digest{Reader: "one", From: 9, To: 3}, false},
+		"negative offset":           {Digest{Reader: "one", From: -1, To: 3}, false},
+		"too many records":          {Digest{Reader: "one", From: 3, To: 1 << 60}, false},
+		"a change before its range": {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{2, "a", nil}}}, false},
+		"a change after its range":  {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{9, "a", nil}}}, false},
+		"changes out of order":      {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{5, "a", nil}, {4, "b", nil}}}, false},
+		"a change without a key":    {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{5, "", nil}}}, false},
+		"two changes at one offset": {Digest{Reader: "one", From: 3, To: 9, Changes: []Change{{5, "a", nil}, {5, "b", nil}}}, false},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(cse.dig.Problem() == "", cse.fine) })
 	}
 }
 
-// cluster is a list of servers with some instances that follow it, and lose digests.
+// cluster is a list of servers, the topic of digests, and some instances that follow both.
 type cluster struct {
-	log      []Change
-	fols     []*Follower
-	known    []map[string]string
-	digests  []Digest
+	log     []Change
+	fols    []*Follower
+	known   []map[string]string
+	digests []Digest
+	// consumed is how many of the digests each instance has read.
 	consumed []int
 }
 
+// apply has an instance take in a record and reports whether that changed what it knew.
 func (cls *cluster) apply(num int, chg *Change) bool {
 	was, had := cls.known[num][chg.Key]
 	if chg.Value == nil {
@@ -181,11 +186,12 @@
 	return !had || was != string(chg.Value)
 }
 
+// read has an instance read the list from its next offset on, or in full.
 func (cls *cluster) read(num int) {
 	fol := cls.fols[num]
 	from, end := fol.NextOffset(), int64(len(cls.log))
 	if from < 0 {
-		// The pages are of different times: what is read is newer than the place that is told.
+		// The pages of a full read are read at different times: their content may be newer than the offset.
 		cls.known[num] = state(cls.log)
 		fol.HandleFullRead(max(0, end-2))
 		return
@@ -198,6 +204,7 @@
 	}
 }
 
+// state returns the servers that are listed after all records of the log.
 func state(log []Change) map[string]string {
 	stt := map[string]string{}
 	for _, chg := range log {
@@ -210,8 +217,8 @@
 	return stt
 }
 
-// Whoever reads and writes, and whichever digests are lost or come late, an instance that has followed the list to its end knows what
-// the list says.
+// Guards against an instance that has read the list to its end but knows something else than its content, whichever instances read it
+// and publish digests, and whichever digests are missed or read late.
 func TestFollowersAgreeWithTheList(t *testing.T) {
 	rapid.Check(t, func(rpd *rapid.T) {
 		const instances = 3
@@ -232,12 +239,13 @@
 				cls.read(num)
 			}
 			if !maps.Equal(cls.known[num], state(cls.log)) {
-				rpd.Fatalf("instance %d knows %v, the list says %v", num, cls.known[num], state(cls.log))
+				rpd.Fatalf("instance %d knows %v, the content of the list is %v", num, cls.known[num], state(cls.log))
 			}
 		}
 	})
 }
 
+// step appends a record to the list, or has an instance read the list, publish digests or read one.
 func (cls *cluster) step(rnd *rand.Rand, now time.Time) {
 	num := rnd.IntN(len(cls.fols))
 	fol := cls.fols[num]
@@ -253,7 +261,7 @@
 	case 3:
 		for _, dig := range fol.PendingDigests(now, rnd.IntN(3)) {
 			cls.digests = append(cls.digests, dig)
-			if rnd.IntN(4) > 0 { // Else the answer is lost.
+			if rnd.IntN(4) > 0 { // Else the answer to the write is lost.
 				fol.HandlePublished(now, &dig)
 			}
 		}
@@ -262,6 +270,7 @@
 	}
 }
 
+// consume has an instance read the next digest; one time in 20 it discards what it knows of the list instead.
 func (cls *cluster) consume(num int, now time.Time, rnd *rand.Rand) {
 	if rnd.IntN(20) == 0 {
 		cls.fols[num].Reset()
