--- a/internal/process/succession/reachability.go
+++ b/internal/process/succession/reachability.go
@@ -45,14 +45,14 @@
 	return true
 }
 
-// HandleProbeAnswer ends a probe that was sent at asked and answered by now, and reports whether its answer is the first of a series.
-func (rch *Reachability) HandleProbeAnswer(now, asked time.Time) (first bool) {
+// HandleProbeAnswer ends a probe that was sent at time sent and answered by now, and reports whether its answer is the first of a series.
+func (rch *Reachability) HandleProbeAnswer(now, sent time.Time) (first bool) {
 	rch.probing = false
-	first = rch.answeringSince.IsZero() || asked.Sub(rch.lastAnswerAt) > maxAnswerAge
+	first = rch.answeringSince.IsZero() || sent.Sub(rch.lastAnswerAt) > maxAnswerAge
 	if first {
-		rch.answeringSince = asked
+		rch.answeringSince = sent
 	}
-	rch.lastAnswerAt, rch.nextProbeAt, rch.failures = asked, now.Add(minAnswering/2), 0
+	rch.lastAnswerAt, rch.nextProbeAt, rch.failures = sent, now.Add(minAnswering/2), 0
 	return first
 }
 
--- a/internal/process/succession/reachability_test.go
+++ b/internal/process/succession/reachability_test.go
@@ -7,55 +7,55 @@
 	"github.com/matryer/is"
 )
 
-// TestReachNeedsAnswersWithoutAGap guards against a take-over by answers that servers gave long ago.
+// TestReachNeedsAnswersWithoutAGap guards against a takeover because of answers that servers gave long ago.
 func TestReachNeedsAnswersWithoutAGap(t *testing.T) {
-	const way = 5 * time.Millisecond
-	type asking struct {
+	const latency = 5 * time.Millisecond
+	type probe struct {
 		after    time.Duration
 		answered bool
 	}
-	answers := func(num int) []asking {
-		asks := make([]asking, num)
-		for idx := range asks {
-			asks[idx] = asking{after: minAnswering / 2, answered: true}
+	answers := func(num int) []probe {
+		probes := make([]probe, num)
+		for idx := range probes {
+			probes[idx] = probe{after: minAnswering / 2, answered: true}
 		}
-		return asks
+		return probes
 	}
 	cases := map[string]struct {
-		asks []asking
-		// rest is the time from the last answer on.
-		rest time.Duration
+		probes []probe
+		// wait is the time from the last probe's end to the decision.
+		wait time.Duration
 		want bool
 	}{
-		"never asked":                          {},
-		"one answer":                           {asks: answers(1), rest: minAnswering / 2},
-		"answers for long enough":              {asks: answers(3), rest: minAnswering / 2, want: true},
-		"answers until half a minute ago":      {asks: answers(3), rest: 30 * time.Second},
-		"one answer half a minute ago":         {asks: answers(1), rest: 30 * time.Second},
-		"one answer again after half a minute": {asks: append(answers(3), asking{after: 30 * time.Second, answered: true}), rest: way},
-		"answers again after half a minute": {
-			asks: append(append(answers(1), asking{after: 30 * time.Second, answered: true}), answers(2)...), rest: way, want: true,
+		"never probed":                       {},
+		"one answer":                         {probes: answers(1), wait: minAnswering / 2},
+		"answers for long enough":            {probes: answers(3), wait: minAnswering / 2, want: true},
+		"answers until half a minute ago":    {probes: answers(3), wait: 30 * time.Second},
+		"one answer half a minute ago":       {probes: answers(1), wait: 30 * time.Second},
+		"one new answer after half a minute": {probes: append(answers(3), probe{after: 30 * time.Second, answered: true}), wait: latency},
+		"new answers after half a minute": {
+			probes: append(append(answers(1), probe{after: 30 * time.Second, answered: true}), answers(2)...), wait: latency, want: true,
 		},
-		"the last one is missing": {asks: append(answers(3), asking{after: minAnswering / 2}), rest: way},
+		"the last probe is not answered": {probes: append(answers(3), probe{after: minAnswering / 2}), wait: latency},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
 			now := time.Unix(1000, 0)
 			rch := &Reachability{}
-			for _, ask := range cse.asks {
-				now = now.Add(ask.after)
+			for _, prb := range cse.probes {
+				now = now.Add(prb.after)
 				chk.True(rch.StartProbe(now))
-				chk.True(!rch.StartProbe(now)) // One asking at a time.
-				asked := now
-				now = now.Add(way)
-				if ask.answered {
-					rch.HandleProbeAnswer(now, asked)
+				chk.True(!rch.StartProbe(now)) // One probe at a time.
+				sent := now
+				now = now.Add(latency)
+				if prb.answered {
+					rch.HandleProbeAnswer(now, sent)
 				} else {
 					rch.HandleProbeFailure(now)
 				}
 			}
-			chk.Equal(rch.Confirmed(now.Add(cse.rest)), cse.want)
+			chk.Equal(rch.Confirmed(now.Add(cse.wait)), cse.want)
 		})
 	}
 }
--- a/internal/process/succession/succession_test.go
+++ b/internal/process/succession/succession_test.go
@@ -10,6 +10,7 @@
 	"chestnutstack/internal/request/shard"
 )
 
+// servers returns entries of a number of servers of a failure domain.
 func servers(domain string, num int) []shard.ServerEntry {
 	var ents []shard.ServerEntry
 	for idx := range num {
@@ -19,9 +20,9 @@
 }
 
 func TestStartedInstancesAdoptTheDivision(t *testing.T) {
-	// A failure domain has grown from 17 servers in two shards to 24. An instance that starts anew would cut
-	// three shards; it and the old ones then took servers from each other every few seconds, and callers
-	// were refused. It follows the division that the others have acted on.
+	// Guards against instances that divide a domain differently and take servers from each other every few seconds, so that calls are
+	// refused. The domain has grown from 17 servers in two shards to 24, which an instance that starts then would divide into three; it
+	// has to adopt the division that the others have acted on.
 	chk := is.New(t)
 	old := Divisions{}
 	old.Divide(servers("a", 17))
@@ -38,12 +39,11 @@
 }
 
 func TestDivisionsAgree(t *testing.T) {
-	// Two sides of a cut have changed the division. Once they hear each other again both have the same, whichever
-	// side speaks first.
+	// Guards against divisions that stay different after both sides of a partition have changed them, whichever side is heard first.
 	cases := map[string][2]shard.Division{
-		"later stamp":          {{Count: 2, Stamp: 3}, {Count: 5, Stamp: 4}},
-		"same stamp":           {{Count: 2, Stamp: 3}, {Count: 5, Stamp: 3}},
-		"one has only guessed": {{Count: 7}, {Count: 5, Stamp: 1}},
+		"later stamp":        {{Count: 2, Stamp: 3}, {Count: 5, Stamp: 4}},
+		"same stamp":         {{Count: 2, Stamp: 3}, {Count: 5, Stamp: 3}},
+		"one is provisional": {{Count: 7}, {Count: 5, Stamp: 1}},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -58,7 +58,7 @@
 }
 
 func TestServersStayInTheirShards(t *testing.T) {
-	// A tenth of the servers comes and goes; the others stay where they are.
+	// Guards against servers that change their shards when others are added: from 180 servers to 200, the old ones stay.
 	chk := is.New(t)
 	dvs := Divisions{}
 	was := dvs.Divide(servers("a", 180))
@@ -75,99 +75,101 @@
 	}
 }
 
-// board is a Council with others that it has heard.
-type board struct {
+// fixture is the Elector of instance self/1 and the present time of the test.
+type fixture struct {
 	elc *Elector
 	now time.Time
 }
 
-func newBoard(processor float64) *board {
-	brd := &board{now: time.Unix(1000, 0)}
-	brd.elc = New(DefaultConfig(), Instance{ID: "self/1", Domain: "a", Cores: processor}, brd.now)
-	brd.elc.SetShards([]Shard{{Name: "a.0", Domain: "a"}, {Name: "b.0", Domain: "b"}})
-	brd.elc.SetReady(brd.now)
-	return brd
+// newFixture returns an instance of domain a that has become ready and knows one shard of domain a and one of b.
+func newFixture(cores float64) *fixture {
+	fix := &fixture{now: time.Unix(1000, 0)}
+	fix.elc = New(DefaultConfig(), Instance{ID: "self/1", Domain: "a", Cores: cores}, fix.now)
+	fix.elc.SetShards([]Shard{{Name: "a.0", Domain: "a"}, {Name: "b.0", Domain: "b"}})
+	fix.elc.SetReady(fix.now)
+	return fix
 }
 
-func (brd *board) hear(id, domain string, processor float64, leaving bool, leads ...shard.Name) {
+// heartbeat delivers a heartbeat of a ready instance that leads shards with token 7.
+func (fix *fixture) heartbeat(id, domain string, cores float64, leaving bool, leads ...shard.Name) {
 	ins := Instance{
-		ID: shard.InstanceID(id), Domain: domain, Cores: processor, Ready: true, Leaving: leaving,
+		ID: shard.InstanceID(id), Domain: domain, Cores: cores, Ready: true, Leaving: leaving,
 		Leads: map[shard.Name]int64{},
 	}
 	for _, name := range leads {
 		ins.Leads[name] = 7
 	}
-	brd.elc.HandleHeartbeat(ins)
+	fix.elc.HandleHeartbeat(ins)
 }
 
-// taken returns what the instance takes over within a time.
-func (brd *board) taken(within time.Duration) map[shard.Name]bool {
-	tkn := map[shard.Name]bool{}
-	for end := brd.now.Add(within); brd.now.Before(end); brd.now = brd.now.Add(10 * time.Millisecond) {
-		take := brd.elc.Decide(brd.now)
+// takeovers returns the shards that the instance takes over within a time, with decisions each 10 ms.
+func (fix *fixture) takeovers(within time.Duration) map[shard.Name]bool {
+	tko := map[shard.Name]bool{}
+	for end := fix.now.Add(within); fix.now.Before(end); fix.now = fix.now.Add(10 * time.Millisecond) {
+		take := fix.elc.Decide(fix.now)
 		for _, shd := range take {
-			tkn[shd.Name] = true
-			brd.elc.HandleTakeover(brd.now, shd.Name, 9)
+			tko[shd.Name] = true
+			fix.elc.HandleTakeover(fix.now, shd.Name, 9)
 		}
 	}
-	return tkn
+	return tko
 }
 
 func TestWhoTakesOver(t *testing.T) {
 	cases := map[string]struct {
-		// story says who is heard.
-		story func(brd *board)
-		want  []shard.Name
+		// events are the heartbeats and losses before the decisions.
+		events func(fix *fixture)
+		want   []shard.Name
 	}{
-		"alone from the start, all shards": {
-			story: func(*board) {},
-			want:  []shard.Name{"a.0", "b.0"},
+		"no other instance was ever heard, all shards": {
+			events: func(*fixture) {},
+			want:   []shard.Name{"a.0", "b.0"},
 		},
-		"a leader is left alone": {
-			story: func(brd *board) {
-				brd.hear("x/1", "a", 0.4, false, "a.0")
-				brd.hear("y/1", "b", 0.4, false, "b.0")
+		"shards with healthy leaders stay": {
+			events: func(fix *fixture) {
+				fix.heartbeat("x/1", "a", 0.4, false, "a.0")
+				fix.heartbeat("y/1", "b", 0.4, false, "b.0")
 			},
 		},
 		"a shard of another domain is left to its own instances": {
-			story: func(brd *board) { brd.hear("x/1", "b", 0.4, false) },
-			want:  []shard.Name{"a.0"},
+			events: func(fix *fixture) { fix.heartbeat("x/1", "b", 0.4, false) },
+			want:   []shard.Name{"a.0"},
 		},
-		"a leader that stops is followed at once": {
-			story: func(brd *board) {
-				brd.hear("x/1", "a", 0.4, true, "a.0")
-				brd.hear("y/1", "b", 0.4, false, "b.0")
+		"the shard of a leaving leader is taken over": {
+			events: func(fix *fixture) {
+				fix.heartbeat("x/1", "a", 0.4, true, "a.0")
+				fix.heartbeat("y/1", "b", 0.4, false, "b.0")
 			},
 			want: []shard.Name{"a.0"},
 		},
-		"a leader from another domain makes way": {
-			story: func(brd *board) { brd.hear("y/1", "b", 0.4, false, "a.0", "b.0") },
-			want:  []shard.Name{"a.0"},
+		"a leader of another domain is replaced": {
+			events: func(fix *fixture) { fix.heartbeat("y/1", "b", 0.4, false, "a.0", "b.0") },
+			want:   []shard.Name{"a.0"},
 		},
-		"a weak leader makes way for a strong instance": {
-			story: func(brd *board) {
-				brd.hear("x/1", "a", 0.1, false, "a.0")
-				brd.hear("y/1", "b", 0.4, false, "b.0")
+		"a leader with fewer cores is replaced": {
+			events: func(fix *fixture) {
+				fix.heartbeat("x/1", "a", 0.1, false, "a.0")
+				fix.heartbeat("y/1", "b", 0.4, false, "b.0")
 			},
 			want: []shard.Name{"a.0"},
 		},
-		"a leader of two makes way for an equal that leads none": {
-			story: func(brd *board) { brd.hear("x/1", "a", 0.4, false, "a.0", "a.1", "b.0") },
-			want:  []shard.Name{"a.0"},
+		"a leader of three shards with equal cores is replaced": {
+			events: func(fix *fixture) { fix.heartbeat("x/1", "a", 0.4, false, "a.0", "a.1", "b.0") },
+			want:   []shard.Name{"a.0"},
 		},
-		"all others are lost, so this one is more likely cut off": {
-			story: func(brd *board) {
-				brd.hear("x/1", "a", 0.4, false, "a.0")
-				brd.elc.HandleInstanceLost(brd.now, "x/1", true)
+		"all others are lost, so this one is more likely partitioned": {
+			events: func(fix *fixture) {
+				fix.heartbeat("x/1", "a", 0.4, false, "a.0")
+				fix.elc.HandleInstanceLost(fix.now, "x/1", true)
 			},
 		},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
-			brd := newBoard(0.4)
-			cse.story(brd)
-			got := brd.taken(1200 * time.Millisecond)
+			fix := newFixture(0.4)
+			cse.events(fix)
+			got := fix.takeovers(1200 * time.Millisecond)
 			chk.Equal(len(got), len(cse.want))
 			for _, nam := range cse.want {
 				chk.True(got[nam])
@@ -177,26 +179,26 @@
 }
 
 func TestFencedLeaderBacksOff(t *testing.T) {
-	// Two instances that don't hear each other both believe that they are to lead. Each time one meets the other's
-	// token it waits twice as long, so that the shard comes to rest.
+	// Guards against a shard that changes hands without end: two instances that don't hear each other both expect to lead it, and meet
+	// each other's token. The wait doubles each time.
 	chk := is.New(t)
-	brd := newBoard(0.4)
+	fix := newFixture(0.4)
 	tries := 0
-	for end := brd.now.Add(10 * time.Second); brd.now.Before(end); brd.now = brd.now.Add(10 * time.Millisecond) {
-		take := brd.elc.Decide(brd.now)
+	for end := fix.now.Add(10 * time.Second); fix.now.Before(end); fix.now = fix.now.Add(10 * time.Millisecond) {
+		take := fix.elc.Decide(fix.now)
 		for _, shd := range take {
 			if shd.Name == "a.0" {
 				tries++
 			}
-			brd.elc.HandleTakeover(brd.now, shd.Name, 9)
-			brd.elc.HandleLeadershipEnd(brd.now, shd.Name, true)
+			fix.elc.HandleTakeover(fix.now, shd.Name, 9)
+			fix.elc.HandleLeadershipEnd(fix.now, shd.Name, true)
 		}
 	}
 	chk.True(tries >= 4 && tries <= 9)
 }
 
 func TestDutyRanksAreDistinct(t *testing.T) {
-	// All instances that hear each other see the same order, so that one does a duty at a time; duties are spread.
+	// Guards against a duty done by several instances or none, and against one instance that has most duties first.
 	chk := is.New(t)
 	ids := []shard.InstanceID{"a/1", "b/2", "c/3", "d/4", "e/5"}
 	firsts := map[shard.InstanceID]bool{}
@@ -222,26 +224,26 @@
 }
 
 func TestShardsAreTakenOneAtATime(t *testing.T) {
-	// All shards of a failure domain are without a leader. Two instances, equally strong, each take one: the one that
-	// is first leaves the second shard until the other has heard of it.
+	// Guards against one instance that takes over all shards without a leader. Of two with equal cores the first takes one shard, and
+	// leaves the second until the other instance has heard of the takeover.
 	chk := is.New(t)
-	brd := newBoard(0.8)
-	brd.elc.SetShards([]Shard{{Name: "a.0", Domain: "a"}, {Name: "a.1", Domain: "a"}})
-	brd.hear("x/1", "a", 0.8, false)
-	brd.now = brd.now.Add(time.Second)
-	brd.elc.Decide(brd.now)
-	brd.now = brd.now.Add(50 * time.Millisecond)
-	take := brd.elc.Decide(brd.now)
+	fix := newFixture(0.8)
+	fix.elc.SetShards([]Shard{{Name: "a.0", Domain: "a"}, {Name: "a.1", Domain: "a"}})
+	fix.heartbeat("x/1", "a", 0.8, false)
+	fix.now = fix.now.Add(time.Second)
+	fix.elc.Decide(fix.now)
+	fix.now = fix.now.Add(50 * time.Millisecond)
+	take := fix.elc.Decide(fix.now)
 	chk.True(len(take) <= 1)
 	for _, shd := range take {
-		brd.elc.HandleTakeover(brd.now, shd.Name, 9)
+		fix.elc.HandleTakeover(fix.now, shd.Name, 9)
 	}
-	chk.Equal(len(brd.taken(20*time.Millisecond)), 0)
+	chk.Equal(len(fix.takeovers(20*time.Millisecond)), 0)
 }
 
 func TestDivisionGrowsWithTheList(t *testing.T) {
-	// The first instances acted when few servers had registered: one shard. When all 17 are there it is cut in two,
-	// or one instance would lead more than it can.
+	// Guards against a shard with more servers than one instance can lead: the domain was divided when only 4 of its 17 servers were
+	// registered.
 	chk := is.New(t)
 	dvs := Divisions{}
 	dvs.Divide(servers("a", 4))
@@ -251,49 +253,48 @@
 }
 
 func TestPausedInstanceIgnoresMissedHeartbeats(t *testing.T) {
-	// A weak machine that has just started is short of processor and misses the leader of its shard, which is fine. It
-	// leaves the shard alone until it has kept up for a while; a shard that never had a leader it takes at once.
+	// Guards against a takeover from a healthy leader whose heartbeats a starting instance missed while short of processor time. A shard
+	// that never had a leader is taken over at once even then.
 	cases := map[string]struct {
-		led, heldUp bool
-		want        bool
+		hadLeader, paused bool
+		want              bool
 	}{
-		"its leader is missed, kept up":  {led: true, want: true},
-		"its leader is missed, held up":  {led: true, heldUp: true},
-		"it never had a leader, held up": {heldUp: true, want: true},
-		"it never had a leader, kept up": {want: true},
+		"its leader was lost, not paused":   {hadLeader: true, want: true},
+		"its leader was lost, paused":       {hadLeader: true, paused: true},
+		"it never had a leader, paused":     {paused: true, want: true},
+		"it never had a leader, not paused": {want: true},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
-			brd := newBoard(0.2)
-			if cse.led {
-				brd.hear("one/2", "a", 0.8, false, "a.0")
-				brd.taken(time.Second)
-				brd.elc.HandleInstanceLost(brd.now, "one/2", true)
+			fix := newFixture(0.2)
+			if cse.hadLeader {
+				fix.heartbeat("one/2", "a", 0.8, false, "a.0")
+				fix.takeovers(time.Second)
+				fix.elc.HandleInstanceLost(fix.now, "one/2", true)
 			}
-			brd.hear("two/3", "b", 0.8, false, "b.0")
-			if cse.heldUp {
-				brd.elc.HandlePause(brd.now)
+			fix.heartbeat("two/3", "b", 0.8, false, "b.0")
+			if cse.paused {
+				fix.elc.HandlePause(fix.now)
 			}
-			chk.Equal(brd.taken(400 * time.Millisecond)["a.0"], cse.want)
+			chk.Equal(fix.takeovers(400 * time.Millisecond)["a.0"], cse.want)
 		})
 	}
 }
 
 func TestCandidatesTakeOverInOrder(t *testing.T) {
-	// The newest instance of the failure domain does not take a shard that has lost its leader: it is held up. The next
-	// one does after a while.
+	// Guards against a shard without a leader because the preferred candidate is paused: the next one takes it over after CandidateDelay.
 	chk := is.New(t)
-	brd := newBoard(0.2)
-	brd.hear("strong/2", "a", 0.8, false)
-	chk.True(!brd.taken(200 * time.Millisecond)["a.0"])
-	chk.True(brd.taken(400 * time.Millisecond)["a.0"])
+	fix := newFixture(0.2)
+	fix.heartbeat("strong/2", "a", 0.8, false)
+	chk.True(!fix.takeovers(200 * time.Millisecond)["a.0"])
+	chk.True(fix.takeovers(400 * time.Millisecond)["a.0"])
 }
 
 func TestOverloadedInstanceIgnoresMissedHeartbeats(t *testing.T) {
-	// A weak instance starts, and its callers' requests leave it too little processor to read what the others send. It misses
-	// most of its failure domain within half a second ("instance lost" "not heard" 13 times), and took all shards over, one
-	// each 30 ms. It waits until it has read on; a rack's loss of power, and that of one leader, are followed at once.
+	// Guards against an instance with too little processor time to read heartbeats, which misses 13 others within half a second, and takes
+	// all their shards over, one each 30 ms. It waits until it reads them again; the shards of a rack without power, and of one lost
+	// leader, are taken over at once.
 	cases := map[string]struct {
 		others, silent int
 		took           bool
@@ -307,19 +308,19 @@
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
-			brd := newBoard(0.2)
-			brd.hear("far/1", "b", 0.8, false, "b.0")
+			fix := newFixture(0.2)
+			fix.heartbeat("far/1", "b", 0.8, false, "b.0")
 			for num := range cse.others {
-				// Each has a shard, the first one that which is missed.
-				brd.hear(fmt.Sprint("near-", num, "/1"), "a", 0.2, false, shard.Name(fmt.Sprint("a.", num)))
+				// Each instance leads one shard, which has no leader once that instance is lost.
+				fix.heartbeat(fmt.Sprint("near-", num, "/1"), "a", 0.2, false, shard.Name(fmt.Sprint("a.", num)))
 			}
-			brd.taken(time.Second)
+			fix.takeovers(time.Second)
 			for num := range cse.silent {
-				brd.now = brd.now.Add(30 * time.Millisecond)
-				brd.elc.HandleInstanceLost(brd.now, shard.InstanceID(fmt.Sprint("near-", num, "/1")), true)
+				fix.now = fix.now.Add(30 * time.Millisecond)
+				fix.elc.HandleInstanceLost(fix.now, shard.InstanceID(fmt.Sprint("near-", num, "/1")), true)
 			}
-			chk.Equal(len(brd.taken(1400*time.Millisecond)) > 0, cse.took)
-			chk.True(len(brd.taken(time.Second)) > 0 || cse.took) // In the end it takes what nobody leads.
+			chk.Equal(len(fix.takeovers(1400*time.Millisecond)) > 0, cse.took)
+			chk.True(len(fix.takeovers(time.Second)) > 0 || cse.took) // Later it takes the shards without a leader over in any case.
 		})
 	}
 }
--- a/internal/version/serverlist/follower_test.go
+++ b/internal/version/serverlist/follower_test.go
@@ -169,6 +169,7 @@
 type cluster struct {
 	log     []Change
 	fols    []*Follower
+	// known has what each instance knows of the list.
 	known   []map[string]string
 	digests []Digest
 	// consumed is how many of the digests each instance has read.
