--- a/internal/process/succession/explore_action_test.go
+++ b/internal/process/succession/explore_action_test.go
@@ -164,7 +164,7 @@
 	}
 	sim.after(timeout, func() { finish(shard.Look{}, shard.Unknown) })
 	srv := sim.server(to)
-	if !sim.linkUp(nod.name, string(to)) {
+	if !sim.up(nod.name, string(to)) {
 		return
 	}
 	if srv.lostAnswers > 0 {
@@ -174,7 +174,7 @@
 	}
 	sim.after(sim.delay(), func() {
 		carryOut(srv, func(lok shard.Look, vdt shard.Verdict) {
-			if sim.linkUp(string(to), nod.name) {
+			if sim.up(string(to), nod.name) {
 				sim.after(sim.delay(), func() { finish(lok, vdt) })
 			}
 		})
--- a/internal/process/succession/explore_caller_test.go
+++ b/internal/process/succession/explore_caller_test.go
@@ -10,7 +10,7 @@
 
 // callerJob is a job of a caller, who submits it again when a call ends without a definite answer.
 type callerJob struct {
-	sim      *simulation
+	sim      *simRun
 	id       string
 	tasks    int
 	runTime  time.Duration
@@ -28,23 +28,23 @@
 }
 
 // submit sends a new random job to a random node.
-func (sim *simulation) submit() {
+func (sim *simRun) submit() {
 	sim.newJob(1+sim.rnd.IntN(4), 50*time.Millisecond+sim.within(1500*time.Millisecond)).send(sim.anyNode())
 }
 
 // submitTo sends a new job to one node.
-func (sim *simulation) submitTo(name string, tasks int, runTime time.Duration) {
+func (sim *simRun) submitTo(name string, tasks int, runTime time.Duration) {
 	sim.newJob(tasks, runTime).send(sim.nodes[name])
 }
 
-func (sim *simulation) newJob(tasks int, runTime time.Duration) *callerJob {
+func (sim *simRun) newJob(tasks int, runTime time.Duration) *callerJob {
 	job := &callerJob{sim: sim, id: fmt.Sprint("j", len(sim.jobs)+1), tasks: tasks, runTime: runTime}
 	sim.jobs = append(sim.jobs, job)
 	return job
 }
 
 // runTime returns how long a task runs.
-func (sim *simulation) runTime(task string) time.Duration {
+func (sim *simRun) runTime(task string) time.Duration {
 	for _, job := range sim.jobs {
 		if strings.HasPrefix(task, job.id+".") {
 			return job.runTime
@@ -129,7 +129,7 @@
 }
 
 // checkRefused looks for jobs that were answered "not run" by each node asked, although a task of theirs has started.
-func (sim *simulation) checkRefused() {
+func (sim *simRun) checkRefused() {
 	for _, job := range sim.jobs {
 		for task, num := range sim.starts {
 			if job.refused && !job.mayHaveRun && num > 0 && strings.HasPrefix(task, job.id+".") {
--- a/internal/process/succession/explore_fault_test.go
+++ b/internal/process/succession/explore_fault_test.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// injectFault injects a random fault, and one time in three another one later. Jobs are submitted shortly before and after its end, as
-// that is when nodes change what they know of each other.
-func (sim *simulation) injectFault() {
+// injectFault injects a random fault, and one time in three another one later. Jobs are submitted around its end, as that is when nodes
+// change what they know of each other.
+func (sim *simRun) injectFault() {
 	nod := sim.anyNode()
 	dur := 20*time.Millisecond + sim.within(2500*time.Millisecond)
 	for range sim.rnd.IntN(3) {
@@ -53,7 +53,7 @@
 
 // partitionWithTakeovers partitions a failure domain whose entries expire meanwhile, and has a random node on either side take a shard
 // over; new jobs come around the end of the partition.
-func (sim *simulation) partitionWithTakeovers(domain string) {
+func (sim *simRun) partitionWithTakeovers(domain string) {
 	dur := time.Second + sim.within(3*time.Second)
 	sim.partition(domain, dur)
 	sim.after(sim.within(dur/2), func() { sim.expireEntries(sim.within(2 * dur)) })
@@ -64,7 +64,7 @@
 }
 
 // forceTakeover has a random node take a random shard over, whether or not it would decide to.
-func (sim *simulation) forceTakeover() {
+func (sim *simRun) forceTakeover() {
 	nod := sim.anyNode()
 	shds := SortedShards(nod.shards())
 	if nod.dead || nod.leaving || len(shds) == 0 || !nod.elc.Ready() {
@@ -80,10 +80,10 @@
 	})
 }
 
-func (sim *simulation) anyNode() *node { return sim.nodes[sim.names[sim.rnd.IntN(len(sim.names))]] }
+func (sim *simRun) anyNode() *node { return sim.nodes[sim.names[sim.rnd.IntN(len(sim.names))]] }
 
 // partition cuts the links between a failure domain and all other nodes and servers and the store, for a time.
-func (sim *simulation) partition(domain string, dur time.Duration) {
+func (sim *simRun) partition(domain string, dur time.Duration) {
 	inside, outside := []string{}, []string{storeName}
 	add := func(name, dom string) {
 		if dom == domain {
@@ -106,7 +106,7 @@
 }
 
 // expireEntries removes the entries of random servers for a time.
-func (sim *simulation) expireEntries(dur time.Duration) {
+func (sim *simRun) expireEntries(dur time.Duration) {
 	for _, srv := range sim.servers {
 		if sim.rnd.IntN(4) == 0 {
 			continue
@@ -117,13 +117,13 @@
 	}
 }
 
-func (sim *simulation) setListed(srv *fakeServer, there bool) {
+func (sim *simRun) setListed(srv *fakeServer, there bool) {
 	sim.offset++
 	sim.listed[srv.id] = there
 }
 
 // endProcess ends a process by a kill, a power loss or a planned stop, and later starts its next incarnation.
-func (sim *simulation) endProcess(nod *node, dur time.Duration) {
+func (sim *simRun) endProcess(nod *node, dur time.Duration) {
 	if nod.dead || nod.leaving {
 		return
 	}
--- a/internal/process/succession/explore_list_test.go
+++ b/internal/process/succession/explore_list_test.go
@@ -26,7 +26,7 @@
 // readList reads the list of servers from the store, if the links to and from it are up.
 func (nod *node) readList() {
 	sim := nod.sim
-	if !sim.linkUp(nod.name, storeName) || !sim.linkUp(storeName, nod.name) {
+	if !sim.up(nod.name, storeName) || !sim.up(storeName, nod.name) {
 		return
 	}
 	began := sim.now
--- a/internal/process/succession/explore_node_test.go
+++ b/internal/process/succession/explore_node_test.go
@@ -15,7 +15,7 @@
 // node is an instance without sockets: its decisions as an owner of jobs, its Elector and the shards that it leads, joined as package
 // daemon joins them.
 type node struct {
-	sim          *simulation
+	sim          *simRun
 	name, domain string
 	id           shard.InstanceID
 	incarnation  int64
@@ -78,7 +78,7 @@
 )
 
 // startNode starts the next incarnation of an instance.
-func (sim *simulation) startNode(name, domain string) *node {
+func (sim *simRun) startNode(name, domain string) *node {
 	sim.incarnations++
 	nod := &node{
 		sim: sim, name: name, domain: domain, incarnation: sim.incarnations, id: incarnationID(name, sim.incarnations), began: sim.now, round: sim.incarnations,
--- a/internal/process/succession/explore_server_test.go
+++ b/internal/process/succession/explore_server_test.go
@@ -11,7 +11,7 @@
 // fakeServer is a backend server without sockets, which follows the rules for tokens and leases but does no admission of its own: too
 // many or duplicate runs are reported as violations.
 type fakeServer struct {
-	sim    *simulation
+	sim    *simRun
 	id     shard.ServerID
 	domain string
 	// clockRate is the speed of the server's clock relative to true time.
@@ -173,7 +173,7 @@
 }
 
 // checkStart counts a start and reports a violation if the task already runs on some server.
-func (sim *simulation) checkStart(at *fakeServer, run shard.RunID) {
+func (sim *simRun) checkStart(at *fakeServer, run shard.RunID) {
 	sim.note("%s begins %s %d", at.id, run.Task, run.Number)
 	sim.starts[run.Task]++
 	for _, srv := range sim.servers {
@@ -184,12 +184,12 @@
 }
 
 // note adds a line to the trace.
-func (sim *simulation) note(format string, args ...any) {
+func (sim *simRun) note(format string, args ...any) {
 	sim.trace = append(sim.trace, fmt.Sprintf("%8.1f ", float64(sim.now.Sub(sim.began).Microseconds())/1000)+fmt.Sprintf(format, args...))
 }
 
 // violation records a broken guarantee.
-func (sim *simulation) violation(format string, args ...any) {
+func (sim *simRun) violation(format string, args ...any) {
 	sim.note("BROKEN "+format, args...)
 	sim.violations = append(sim.violations, fmt.Sprintf("%v: ", sim.now.Sub(sim.began))+fmt.Sprintf(format, args...))
 }
--- a/internal/process/succession/explore_session_test.go
+++ b/internal/process/succession/explore_session_test.go
@@ -14,21 +14,31 @@
 	return epo.incarnation < oth.incarnation || epo.incarnation == oth.incarnation && epo.generation < oth.generation
 }
 
+// session is one node's side of the session with a peer.
 type session struct {
-	nod                                                                        *node
-	peer                                                                       string
-	own, other                                                                 fakeEpoch
-	established                                                                bool
-	sequence, inSequence                                                       int64
-	outbox, sending                                                            []any
-	numbered                                                                   bool
-	heardAt, peerStamp, heartbeatStamp                                         time.Time
+	nod  *node
+	peer string
+	// own and other are the epochs of the two sides; the session is established once the peer has answered to the own one.
+	own, other  fakeEpoch
+	established bool
+	// sequence numbers the batches sent, inSequence those accepted.
+	sequence, inSequence int64
+	// outbox has the messages for the next batch, sending those of the present one; that has got its number if numbered is set.
+	outbox, sending []any
+	numbered        bool
+	// heardAt is until when the peer was surely heard. peerStamp and heartbeatStamp are the peer's time stamps of its newest batch and
+	// heartbeat; peerStampAt is when the former came.
+	heardAt, peerStamp, heartbeatStamp time.Time
+	// unackedSince and failingSince are since when a batch lacks its receipt and calls get no answer; answeredAt and calledAt are when a
+	// batch was last answered and sent; shortenedAt is when the interval was last shortened.
 	peerStampAt, unackedSince, failingSince, answeredAt, shortenedAt, calledAt time.Time
 	interval                                                                   time.Duration
 	heartbeat                                                                  heartbeat
-	calling, callAgain                                                         bool
+	// calling is set while a call is in progress, callAgain if another one is to follow it.
+	calling, callAgain bool
 }
 
+// heartbeat is the state of a node that goes with each batch.
 type heartbeat struct {
 	ins   Instance
 	round int64
@@ -37,21 +47,27 @@
 	loads      map[shard.Name]shard.Load
 }
 
+// fakeBatch is a batch or its receipt.
 type fakeBatch struct {
-	own, other       fakeEpoch
+	own, other fakeEpoch
+	// stamp is the time of sending by the sender's clock, peerStamp the newest stamp that the sender has got from the receiver.
 	stamp, peerStamp time.Time
 	heartbeat        heartbeat
 	hasHeartbeat     bool
-	stale            bool
-	sequence         int64
-	msgs             []any
+	// stale says in a receipt that the batch was too old to be accepted.
+	stale bool
+	// sequence is the number of the batch; 0 if it has no messages.
+	sequence int64
+	msgs     []any
 }
 
 const (
 	heartbeatInterval = 100 * time.Millisecond
 	callTimeout       = 150 * time.Millisecond
-	freshFor          = 4 * heartbeatInterval
-	idleInterval      = 3 * heartbeatInterval
+	// freshFor is how old the echoed time stamp of a batch may be.
+	freshFor = 4 * heartbeatInterval
+	// idleInterval is the heartbeat interval between nodes of different domains without orders between them.
+	idleInterval = 3 * heartbeatInterval
 )
 
 func (ses *session) id() shard.InstanceID { return incarnationID(ses.peer, ses.other.incarnation) }
@@ -105,20 +121,20 @@
 	sim.after(callTimeout, func() {
 		nod.deliver("timeout "+ses.peer, finish(func() { ses.handleTimeout(sim.now) }))
 	})
-	if !sim.linkUp(nod.name, ses.peer) {
+	if !sim.up(nod.name, ses.peer) {
 		return
 	}
 	sim.after(sim.delay(), func() {
 		oth := sim.nodes[ses.peer]
 		if oth == nil || oth.dead {
-			if oth != nil && !oth.powerLost && sim.linkUp(ses.peer, nod.name) {
+			if oth != nil && !oth.powerLost && sim.up(ses.peer, nod.name) {
 				nod.deliver("in "+ses.peer, finish(func() { ses.handleRefusal() }))
 			}
 			return
 		}
 		oth.deliver("batch "+nod.name, func() {
 			rcp := oth.session(nod.name).take(bat)
-			if !sim.linkUp(ses.peer, nod.name) {
+			if !sim.up(ses.peer, nod.name) {
 				return
 			}
 			sim.after(sim.delay(), func() {
--- a/internal/process/succession/explore_test.go
+++ b/internal/process/succession/explore_test.go
@@ -44,7 +44,7 @@
 }
 
 // write saves the trace of a simulation to a temporary file.
-func (sim *simulation) write(t *testing.T) {
+func (sim *simRun) write(t *testing.T) {
 	fil, err := os.CreateTemp("", "explore-*.log")
 	if err != nil {
 		t.Fatal(err)
@@ -56,8 +56,8 @@
 	t.Log(fil.Name())
 }
 
-// simulation is one random order of events in virtual time.
-type simulation struct {
+// simRun is one random order of events in virtual time.
+type simRun struct {
 	rnd          *rand.Rand
 	began, now   time.Time
 	evts         events
@@ -70,8 +70,8 @@
 	// listed are the servers that have entries in the store; offset counts the changes of entries.
 	listed map[shard.ServerID]bool
 	offset int64
-	// cutUntil is until when the link from one process to another is cut, in that direction.
-	cutUntil   map[[2]string]time.Time
+	// cuts has until when the link from one process to another is cut, in that direction.
+	cuts       map[[2]string]time.Time
 	jobs       []*callerJob
 	starts     map[string]int
 	violations []string
@@ -103,13 +103,13 @@
 }
 
 // after schedules act for a time from now.
-func (sim *simulation) after(dur time.Duration, act func()) {
+func (sim *simRun) after(dur time.Duration, act func()) {
 	sim.count++
 	heap.Push(&sim.evts, event{at: sim.now.Add(dur), count: sim.count, act: act})
 }
 
 // runUntil carries out the events up to a time.
-func (sim *simulation) runUntil(end time.Time) {
+func (sim *simRun) runUntil(end time.Time) {
 	for len(sim.evts) > 0 && !sim.evts[0].at.After(end) {
 		evt := heap.Pop(&sim.evts).(event)
 		sim.now = evt.at
@@ -119,32 +119,30 @@
 }
 
 // within draws a duration from 0 up to a bound.
-func (sim *simulation) within(most time.Duration) time.Duration {
+func (sim *simRun) within(most time.Duration) time.Duration {
 	return time.Duration(sim.rnd.Int64N(int64(most) + 1))
 }
 
 // delay draws the one-link latency of a message: 1 to 4 ms, and one time in 50 up to 60 ms.
-func (sim *simulation) delay() time.Duration {
+func (sim *simRun) delay() time.Duration {
 	if sim.rnd.IntN(50) == 0 {
 		return sim.within(60 * time.Millisecond)
 	}
 	return time.Millisecond + sim.within(3*time.Millisecond)
 }
 
-// linkUp reports whether the link from one process to another is not cut.
-func (sim *simulation) linkUp(from, to string) bool {
-	return !sim.now.Before(sim.cutUntil[[2]string{from, to}])
-}
+// up reports whether the link from one process to another is not cut.
+func (sim *simRun) up(from, to string) bool { return !sim.now.Before(sim.cuts[[2]string{from, to}]) }
 
 // cutLink cuts the link in one direction for a time.
-func (sim *simulation) cutLink(from, to string, dur time.Duration) {
+func (sim *simRun) cutLink(from, to string, dur time.Duration) {
 	link := [2]string{from, to}
-	if until := sim.now.Add(dur); until.After(sim.cutUntil[link]) {
-		sim.cutUntil[link] = until
+	if until := sim.now.Add(dur); until.After(sim.cuts[link]) {
+		sim.cuts[link] = until
 	}
 }
 
-func (sim *simulation) server(id shard.ServerID) *fakeServer {
+func (sim *simRun) server(id shard.ServerID) *fakeServer {
 	for _, srv := range sim.servers {
 		if srv.id == id {
 			return srv
@@ -161,7 +159,7 @@
 )
 
 // simulate returns the simulation of a seed after it has run: jobs and faults at random times, and time to settle.
-func simulate(seed uint64) *simulation {
+func simulate(seed uint64) *simRun {
 	rnd := rand.New(rand.NewPCG(seed, 12))
 	domains := []string{"a", "a", "b"}
 	if rnd.IntN(2) == 0 {
@@ -186,10 +184,10 @@
 }
 
 // newSimulation returns a simulation with one node for each failure domain in nodes and one backend server for each in servers.
-func newSimulation(seed uint64, nodes, servers []string) *simulation {
-	sim := &simulation{
+func newSimulation(seed uint64, nodes, servers []string) *simRun {
+	sim := &simRun{
 		rnd: rand.New(rand.NewPCG(seed, 11)), began: time.Unix(1_000_000, 0), nodes: map[string]*node{},
-		listed: map[shard.ServerID]bool{}, cutUntil: map[[2]string]time.Time{}, starts: map[string]int{},
+		listed: map[shard.ServerID]bool{}, cuts: map[[2]string]time.Time{}, starts: map[string]int{},
 	}
 	sim.now = sim.began
 	for num, dom := range nodes {
@@ -210,7 +208,7 @@
 }
 
 // leader returns the name of the first node that leads a shard, or "".
-func (sim *simulation) leader(shd shard.Name) string {
+func (sim *simRun) leader(shd shard.Name) string {
 	for _, name := range sim.names {
 		if sim.nodes[name].ldrs[shd] != nil {
 			return name
@@ -220,7 +218,7 @@
 }
 
 // cutBothWays cuts the links in both directions between two nodes or servers, for a time.
-func (sim *simulation) cutBothWays(one, two string, dur time.Duration) {
+func (sim *simRun) cutBothWays(one, two string, dur time.Duration) {
 	sim.cutLink(one, two, dur)
 	sim.cutLink(two, one, dur)
 }
