--- a/internal/process/succession/shards.go
+++ b/internal/process/succession/shards.go
@@ -89,6 +89,7 @@
 	}
 }
 
+// shardOf returns the shard with a number, counted from 0, of a failure domain.
 func shardOf(domain string, num int) Shard {
 	return Shard{Name: shard.Name(domain + "." + strconv.Itoa(num)), Domain: domain}
 }
--- a/internal/process/succession/succession.go
+++ b/internal/process/succession/succession.go
@@ -91,7 +91,7 @@
 	// pausedAt is when the last pause of the own process was noticed; hadLeader has the shards that were once seen to have a leader.
 	pausedAt  time.Time
 	hadLeader map[shard.Name]bool
-	// vacantSince is when a shard was first seen to have no leader, or a replaceable one.
+	// vacantSince is since when a shard has had no leader, or a replaceable one.
 	vacantSince map[shard.Name]time.Time
 	// silentPeers is how many instances of the own failure domain have fallen silent in a row, with less than PauseGrace between two;
 	// silentAt is when the last one did.
@@ -197,6 +197,7 @@
 	elc.backoffs[name] = backoff{until: now.Add(pause), count: bck.count + 1}
 }
 
+// maxBackoffDoublings bounds the doublings of InitialBackoff.
 const maxBackoffDoublings = 6
 
 // Peers returns the other instances that are heard, by ID.
@@ -249,7 +250,8 @@
 }
 
 // Decide returns the shards to take over now, at most one; it is called on each tick. The next one waits until the other instances have
-// heard of the first: an instance that took all at once led its whole failure domain and ran out of processor, while one as strong led none.
+// heard of the first: an instance that took all at once led its whole failure domain and ran out of processor time, while one as strong
+// led none.
 func (elc *Elector) Decide(now time.Time) (take []Shard) {
 	for _, shd := range elc.shardsToCheck(now) {
 		led, _ := elc.Leader(shd)
@@ -299,17 +301,17 @@
 		elc.vacantSince[shd.Name] = now
 		since = now
 	}
-	patience := elc.cfg.TakeoverDelay
+	delay := elc.cfg.TakeoverDelay
 	if elc.self.Domain != shd.Domain {
-		patience = elc.cfg.ForeignTakeoverDelay
+		delay = elc.cfg.ForeignTakeoverDelay
 	}
 	before := elc.candidatesBefore(shd)
 	if before > 0 && (led != "" || elc.self.Domain != shd.Domain) {
 		return false
 	}
 	// Candidates with a better rank may be paused and not act.
-	patience += time.Duration(before) * elc.cfg.CandidateDelay
-	return now.Sub(since) >= patience && now.Sub(elc.readyAt) >= elc.cfg.ReadyDelay && !elc.maybeIsolated(now)
+	delay += time.Duration(before) * elc.cfg.CandidateDelay
+	return now.Sub(since) >= delay && now.Sub(elc.readyAt) >= elc.cfg.ReadyDelay && !elc.maybeIsolated(now)
 }
 
 // replaceable reports whether the own instance may take a shard over from its leader led: that one is leaving; or the own instance is of
--- a/internal/version/serverlist/follower_test.go
+++ b/internal/version/serverlist/follower_test.go
@@ -167,8 +167,8 @@
 
 // cluster is a list of servers, the topic of digests, and some instances that follow both.
 type cluster struct {
-	log     []Change
-	fols    []*Follower
+	log  []Change
+	fols []*Follower
 	// known has what each instance knows of the list.
 	known   []map[string]string
 	digests []Digest
