--- a/internal/process/daemon/clock.go
+++ b/internal/process/daemon/clock.go
@@ -7,71 +7,77 @@
 	"golang.org/x/sys/unix"
 )
 
-// clock never steps and counts the time during which the machine was suspended, which the runtime's clock does
-// not: the leases of a suspended process run out elsewhere.
+// clock never steps and includes the time during which the machine was suspended, unlike the runtime's clock: the leases of a suspended
+// process expire elsewhere.
 //
-// The kernel's clock that counts such time takes a system call, and is asked for several times with each message. The time of day and
-// the runtime's clock take none: only when they part, as after a suspension or when somebody sets the time of day, is it asked.
+// The kernel's clock that includes suspensions costs a system call, and the time is needed several times per message. The time of day and
+// the runtime's monotonic clock cost none; the kernel is asked only when they diverge, as after a suspension or a change of the
+// time of day.
 type clock struct {
-	// tell returns the time of day, and for how long the runtime's clock has run; asleep returns for how long the machine was
-	// suspended since its start.
-	tell   func() (day time.Time, ran time.Duration)
-	asleep func() time.Duration
-	start  time.Time
-	// before is what asleep returned at first.
-	before time.Duration
-	// parted is by how much the time of day had moved further than the runtime's clock when asleep was last asked, at askedAt by
-	// the latter; slept is what it returned.
-	parted, slept, askedAt atomic.Int64
+	// read returns the time of day and the monotonic time since the clock was made; suspendedSinceBoot returns the total time for which the
+	// machine was suspended.
+	read               func() (day time.Time, ran time.Duration)
+	suspendedSinceBoot func() time.Duration
+	start              time.Time
+	// suspendedAtStart is the result of suspendedSinceBoot when the clock was made.
+	suspendedAtStart time.Duration
+	// At the last call of suspendedSinceBoot, at kernelReadAt of the monotonic clock, divergence is how much further the time of day had
+	// moved than that clock, and suspendedFor the suspension since the start; all in nanoseconds.
+	divergence, suspendedFor, kernelReadAt atomic.Int64
 }
 
+// newClock returns a clock that starts at the time of day.
 func newClock() *clock {
 	began := time.Now()
-	return newClockOf(func() (time.Time, time.Duration) {
+	return newClockFrom(func() (time.Time, time.Duration) {
 		tim := time.Now()
 		return tim.Round(0), tim.Sub(began)
-	}, asleep)
+	}, suspendedSinceBoot)
 }
 
-func newClockOf(tell func() (time.Time, time.Duration), asleep func() time.Duration) *clock {
+// newClockFrom returns a clock with the given sources: tell for clock.read, asleep for clock.suspendedSinceBoot.
+func newClockFrom(tell func() (time.Time, time.Duration), asleep func() time.Duration) *clock {
 	day, ran := tell()
-	clk := &clock{tell: tell, asleep: asleep, start: day.Add(-ran), before: asleep()}
-	clk.askedAt.Store(int64(ran))
+	clk := &clock{read: tell, suspendedSinceBoot: asleep, start: day.Add(-ran), suspendedAtStart: asleep()}
+	clk.kernelReadAt.Store(int64(ran))
 	return clk
 }
 
 const (
-	// partTolerance is by how much the two clocks part at the most without a reason: a process may stand still between their
-	// readings.
-	partTolerance = 2 * time.Millisecond
-	// askInterval is how long the kernel is not asked at the most: somebody may set the time of day back by just as long as the
-	// machine was suspended.
-	askInterval = time.Second
+	// maxDivergence is how far the two clocks may diverge without a reason: the process may be paused between reading one and the other.
+	maxDivergence = 2 * time.Millisecond
+	// kernelReadInterval is the maximum time between two reads of the kernel's clock: somebody may set the time of day back by exactly the
+	// duration of a suspension, which hides it.
+	kernelReadInterval = time.Second
 )
 
+// now returns the start time plus the time that passed since, suspensions included.
 func (clk *clock) now() time.Time {
-	day, ran := clk.tell()
+	day, ran := clk.read()
 	return clk.start.Add(ran + clk.check(day, ran))
 }
 
-// suspended returns for how long the machine has stood still since the clock was made.
-func (clk *clock) suspended() time.Duration { return clk.check(clk.tell()) }
+// suspended returns for how long the machine was suspended since the clock was made.
+func (clk *clock) suspended() time.Duration { return clk.check(clk.read()) }
 
-// check returns for how long the machine was suspended before a time.
+// check returns for how long the machine was suspended since the clock was made, given a reading of both clocks.
 func (clk *clock) check(day time.Time, ran time.Duration) time.Duration {
 	parted := day.Sub(clk.start) - ran
-	moved := parted - time.Duration(clk.parted.Load())
-	if moved.Abs() > partTolerance || ran-time.Duration(clk.askedAt.Load()) > askInterval {
-		clk.slept.Store(int64(clk.asleep() - clk.before))
-		clk.parted.Store(int64(parted))
-		clk.askedAt.Store(int64(ran))
+	moved := parted - time.Duration(clk.divergence.Load())
+	if moved.Abs() > maxDivergence || ran-time.Duration(clk.kernelReadAt.Load()) > kernelReadInterval {
+		clk.suspendedFor.Store(int64(clk.suspendedSinceBoot() - clk.suspendedAtStart))
+		clk.divergence.Store(int64(parted))
+		clk.kernelReadAt.Store(int64(ran))
 	}
-	return time.Duration(clk.slept.Load())
+	return time.Duration(clk.suspendedFor.Load())
 }
 
-// asleep returns for how long the machine was suspended since its start.
-func asleep() time.Duration { return readClock(unix.CLOCK_BOOTTIME) - readClock(unix.CLOCK_MONOTONIC) }
+// suspendedSinceBoot returns for how long the machine was suspended since it booted.
+func suspendedSinceBoot() time.Duration {
+	return readClock(unix.CLOCK_BOOTTIME) - readClock(unix.CLOCK_MONOTONIC)
+}
 
+// readClock returns the value of a kernel clock.
 func readClock(id int32) time.Duration {
 	var tsp unix.Timespec
 	if err := unix.ClockGettime(id, &tsp); err != nil {
--- a/internal/process/daemon/clock_test.go
+++ b/internal/process/daemon/clock_test.go
@@ -29,7 +29,7 @@
 			var ran, slept, stepped time.Duration
 			began := time.Unix(1000, 0)
 			asked := 0
-			clk := newClockOf(func() (time.Time, time.Duration) {
+			clk := newClockFrom(func() (time.Time, time.Duration) {
 				return began.Add(ran + slept + stepped), ran
 			}, func() time.Duration {
 				asked++
--- a/internal/process/daemon/closed.go
+++ b/internal/process/daemon/closed.go
@@ -8,8 +8,8 @@
 	"chestnutstack/platform"
 )
 
-// takeClosings takes in which failure domains operators have closed to new work or opened again.
-func (dmn *Daemon) takeClosings(bat batch) {
+// handleClosings applies the records by which operators close failure domains to new work or open them again.
+func (dmn *Daemon) handleClosings(bat batch) {
 	var recs []domainlist.Record
 	unreadable := 0
 	for num, rec := range bat.recs {
@@ -17,13 +17,13 @@
 		switch {
 		case err != nil:
 			unreadable++
-			dmn.log.Error().Err(err).Msg("closing of a failure domain is unreadable; what is known of it stays")
+			dmn.log.Error().Err(err).Msg("closing of a failure domain is unreadable; keeping the known state of the domain")
 		case is:
 			recs = append(recs, cls)
 		}
 	}
-	now := dmn.enter()
-	defer dmn.exit(now)
+	now := dmn.beginEvent()
+	defer dmn.endEvent(now)
 	dmn.cnt.badClosings.Add(int64(unreadable))
 	var changed bool
 	if bat.from < 0 {
@@ -35,12 +35,12 @@
 	if changed {
 		dmn.applyClosings(now, fromStore)
 	}
-	if changed && dmn.council != nil {
-		dmn.nudgeNear() // The store may turn the others away.
+	if changed && dmn.elector != nil {
+		dmn.nudgeDomain() // The store may be out of reach for the others.
 	}
 }
 
-// mergeClosings takes over what another instance knows of closed failure domains.
+// mergeClosings merges the closed failure domains that another instance knows.
 func (dmn *Daemon) mergeClosings(now time.Time, from shard.InstanceID, viw domainlist.View) {
 	changed := dmn.domains.Merge(viw)
 	dmn.countRefusedClosings()
@@ -49,7 +49,7 @@
 	}
 }
 
-// countRefusedClosings tells of closings that were not believed since the last time.
+// countRefusedClosings counts and logs the closings that were rejected since its last call.
 func (dmn *Daemon) countRefusedClosings() {
 	if num := dmn.domains.Refused() - dmn.refusedClosings; num > 0 {
 		dmn.refusedClosings += num
@@ -58,17 +58,17 @@
 	}
 }
 
-// applyClosings tells all that decides here which failure domains are closed.
+// applyClosings passes the closed failure domains to the leaders and the coordinator.
 func (dmn *Daemon) applyClosings(now time.Time, from string) {
 	viw := dmn.domains.View()
 	dmn.cnt.closedDomains.Store(int64(len(viw.Closed)))
 	dmn.log.Info().Strs("closed", viw.Closed).Int64("offset", viw.End).Str("from", from).Msg("closed failure domains changed")
-	for shd := range dmn.divided {
+	for shd := range dmn.serversByShard {
 		if ldr := dmn.leaders[shd.Name]; ldr != nil {
-			dmn.shardDo(shd.Name, ldr.SetClosed(now, dmn.domains.Closed(shd.Domain)))
+			dmn.runLeaderActions(shd.Name, ldr.SetClosed(now, dmn.domains.Closed(shd.Domain)))
 		}
 	}
-	if dmn.desk != nil {
-		dmn.deskDo(dmn.desk.SetClosed(now, viw.Closed))
+	if dmn.coordinator != nil {
+		dmn.runCoordinatorActions(dmn.coordinator.SetClosed(now, viw.Closed))
 	}
 }
--- a/internal/process/daemon/count.go
+++ b/internal/process/daemon/count.go
@@ -11,8 +11,8 @@
 	"chestnutstack/internal/request/submission"
 )
 
-// bounds are the upper ends of a histogram's buckets; the last bucket has no end.
-var bounds = [...]time.Duration{
+// bucketBounds are the upper bounds of a histogram's buckets; the last bucket has none.
+var bucketBounds = [...]time.Duration{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond,
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond,
 	time.Second, 2 * time.Second, 5 * time.Second,
@@ -20,25 +20,27 @@
 
 // histogram counts durations by bucket.
 type histogram struct {
-	buckets [len(bounds) + 1]atomic.Int64
+	buckets [len(bucketBounds) + 1]atomic.Int64
 	total   atomic.Int64
 }
 
+// observe counts a duration.
 func (hst *histogram) observe(dur time.Duration) {
 	idx := 0
-	for idx < len(bounds) && dur > bounds[idx] {
+	for idx < len(bucketBounds) && dur > bucketBounds[idx] {
 		idx++
 	}
 	hst.buckets[idx].Add(1)
 	hst.total.Add(int64(dur))
 }
 
-// counters are what a daemon counts; those that do not rise say so.
+// counters are the metrics of a daemon: monotonic counters, except those that are described as gauges.
 type counters struct {
-	submissions, refusals, stops, looks, storeReads, listReads, digests, badDigests, badClosings, logsDropped, lateBatches, heldUps atomic.Int64
-	// closedDomains is how many failure domains are closed to new work now, closedRuns how many runs this instance leads there.
+	submissions, refusals, stops, renewals, storeReads, listReads, digests, badDigests, badClosings, logsDropped, lateBatches, pauses atomic.Int64
+	// closedDomains and closedRuns are gauges: the failure domains that are closed to new work, and the runs that this instance leads there.
 	closedDomains, closedRuns atomic.Int64
-	// admittedWithRoom, admittedToWait and notAdmitted are the decisions on submissions; waits are those expected of the second.
+	// admittedWithRoom, admittedToWait and notAdmitted count the decisions on submissions; waits has the expected waiting times of
+	// those admitted to wait.
 	admittedWithRoom, admittedToWait, notAdmitted atomic.Int64
 	waits                                         histogram
 	starts                                        [shard.Overfull + 1]atomic.Int64
@@ -47,13 +49,14 @@
 	traffic                                       traffic
 }
 
-func (cnt *counters) start(vdt shard.Verdict, took time.Duration) {
+// countStart counts an answered or failed start call.
+func (cnt *counters) countStart(vdt shard.Verdict, took time.Duration) {
 	cnt.starts[vdt].Add(1)
 	cnt.startTimes.observe(took)
 }
 
-// admission counts a decision on a submission.
-func (cnt *counters) admission(act *submission.Admit) {
+// countAdmission counts a decision on a submission.
+func (cnt *counters) countAdmission(act *submission.Admit) {
 	switch {
 	case act.Refused:
 		cnt.notAdmitted.Add(1)
@@ -67,12 +70,12 @@
 	}
 }
 
-// handler serves the counters as text, a line each.
+// handler serves the metrics as text, one per line.
 func (cnt *counters) handler() http.Handler {
 	return http.HandlerFunc(func(wrt http.ResponseWriter, _ *http.Request) {
 		wrt.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		line := func(name string, val int64) {
-			_, _ = fmt.Fprintf(wrt, "%s %d\n", name, val) // The reader may have gone.
+			_, _ = fmt.Fprintf(wrt, "%s %d\n", name, val) // Fails if the client has closed the connection.
 		}
 		line("submissions", cnt.submissions.Load())
 		line("refusals", cnt.refusals.Load())
@@ -81,7 +84,7 @@
 		line("not-admitted", cnt.notAdmitted.Load())
 		cnt.waits.write("expected-wait", line)
 		line("stops", cnt.stops.Load())
-		line("looks", cnt.looks.Load())
+		line("looks", cnt.renewals.Load())
 		line("store-reads", cnt.storeReads.Load())
 		line("list-reads", cnt.listReads.Load())
 		line("list-digests-written", cnt.digests.Load())
@@ -90,7 +93,7 @@
 		line("closed-failure-domains", cnt.closedDomains.Load())
 		line("runs-in-closed-domains", cnt.closedRuns.Load())
 		line("late-batches", cnt.lateBatches.Load())
-		line("held-up", cnt.heldUps.Load())
+		line("held-up", cnt.pauses.Load())
 		line("log-lines-dropped", cnt.logsDropped.Load())
 		for vdt := range cnt.starts {
 			line("starts-"+shard.Verdict(vdt).String(), cnt.starts[vdt].Load())
@@ -98,30 +101,32 @@
 		for res := range cnt.answers {
 			line("answers-"+submission.Result(res).String(), cnt.answers[res].Load())
 		}
-		for _, way := range cnt.traffic.ways() {
+		for _, way := range cnt.traffic.classes() {
 			line(way.name+"-bytes-in", int64(way.cnt.Stats().BytesIn))
 			line(way.name+"-bytes-out", int64(way.cnt.Stats().BytesOut))
 		}
 		cnt.startTimes.write("start", line)
 		cnt.answerTimes.write("answer", line)
 		if mem := expvar.Get("memstats"); mem != nil {
-			_, _ = fmt.Fprintf(wrt, "memstats %s\n", mem) // As above.
+			_, _ = fmt.Fprintf(wrt, "memstats %s\n", mem) // Fails as above.
 		}
 	})
 }
 
+// write passes the count of each bucket and the total in microseconds to line.
 func (hst *histogram) write(name string, line func(string, int64)) {
 	for idx := range hst.buckets {
 		end := "more"
-		if idx < len(bounds) {
-			end = bounds[idx].String()
+		if idx < len(bucketBounds) {
+			end = bucketBounds[idx].String()
 		}
 		line(name+"-time-"+end, hst.buckets[idx].Load())
 	}
 	line(name+"-time-total-micros", hst.total.Load()/int64(time.Microsecond))
 }
 
-func (dmn *Daemon) answered(sub *submission.Submission, ans submission.Answer, since time.Time) {
+// recordAnswer counts and logs the answer to a submission that arrived at a time.
+func (dmn *Daemon) recordAnswer(sub *submission.Submission, ans submission.Answer, since time.Time) {
 	took := dmn.now().Sub(since)
 	dmn.cnt.answers[ans.Result].Add(1)
 	dmn.cnt.answerTimes.observe(took)
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -21,14 +21,14 @@
 	"chestnutstack/platform"
 )
 
-// Store is what a daemon needs of the platform's metadata store.
+// Store is the part of the platform's metadata store that a daemon uses: topics of keyed records, addressed by offset.
 type Store interface {
 	Append(ctx context.Context, tpc platform.Topic, rec platform.Record) (offset int64, err error)
 	Newest(ctx context.Context, tpc platform.Topic) (recs []platform.Record, next int64, err error)
 	Read(ctx context.Context, tpc platform.Topic, from int64, wait time.Duration) ([]platform.Record, int64, error)
 }
 
-// Servers is what a daemon needs of the backend servers.
+// Servers is the part of the backend servers' interface that a daemon calls.
 type Servers interface {
 	Start(ctx context.Context, srv platform.Server, run shard.RunID, payload string, token int64,
 		until time.Duration) (shard.Verdict, time.Duration, error)
@@ -37,104 +37,108 @@
 		shard.Look, shard.Verdict, error)
 }
 
-// Listeners are where a daemon is reached.
+// Listeners are the listening sockets of a daemon: for submissions, readiness checks, other instances and metrics.
 type Listeners struct {
 	Callers, Ready, Peers, Metrics net.Listener
 }
 
-// Params is what a Daemon is made of.
+// Params are the dependencies and settings of a Daemon.
 type Params struct {
 	Settings platform.Settings
 	Store    Store
 	Servers  Servers
 	// Dial opens the connections to other instances.
 	Dial mesh.DialFunc
-	// Now is a clock that counts the time during which the machine was suspended.
+	// Now returns a clock reading that never steps and includes the time during which the machine was suspended.
 	Now func() time.Time
-	// Suspended returns for how long the machine has stood still since its start; Now counts that time.
+	// Suspended returns the total time for which the machine was suspended.
 	Suspended func() time.Duration
 	Log       zerolog.Logger
-	// SettingsPath is the file that Settings were read from; empty if it is not to be followed.
+	// SettingsPath is the file that Settings were read from and that is reread on changes; if it is empty, Settings stay fixed.
 	SettingsPath string
-	// Counters are made by New if nil.
+	// Counters are created by New if nil.
 	Counters *counters
 }
 
-// Daemon is one process of the system.
+// Daemon is the process of one instance: it passes events to the decision types and executes the actions that they return.
 type Daemon struct {
 	prm Params
 	log zerolog.Logger
 	now func() time.Time
 	cnt *counters
 
-	// cfg is the newest configuration; cfgData is the record it was read from, for peers that lag.
+	// cfg is the configuration in force; cfgData is its encoded record, for sending it to instances with an older one.
 	cfg     atomic.Pointer[config.Configuration]
 	cfgData atomic.Pointer[[]byte]
 	leaving atomic.Bool
-	// joined is closed once the instance has its number, configured once it has a configuration.
+	// joined is closed once the instance is registered in the store, configured once a configuration is in force.
 	joined, configured chan struct{}
 
-	// mu guards all that decides. No call to another process is made under it.
-	mu      sync.Mutex
-	life    int64
-	self    shard.InstanceID
-	round   int64
-	desk    *submission.Desk
-	council *succession.Council
-	leaders map[shard.Name]*shard.Leader
-	// uplink is what the leaders share of the way to the servers.
-	uplink  *shard.Uplink
-	divided map[succession.Shard][]shard.ServerEntry
-	// divisions are agreed with the other instances.
+	// mu guards the fields below it. No call to another process is made while it is held.
+	mu sync.Mutex
+	// incarnation is unique to this process among all instances: a restart gets a higher one. tokenRound is the highest round of
+	// fencing tokens that this instance has used or heard of.
+	incarnation int64
+	self        shard.InstanceID
+	tokenRound  int64
+	coordinator *submission.Desk
+	elector     *succession.Council
+	leaders     map[shard.Name]*shard.Leader
+	// uplink is the shared state of the link to the backend servers: its queues and how long an answer may take.
+	uplink *shard.Uplink
+	// serversByShard has the entries of the listed backend servers by shard.
+	serversByShard map[succession.Shard][]shard.ServerEntry
+	// divisions is, by failure domain and service, the number of shards, as agreed with the other instances.
 	divisions succession.Divisions
 	entries   map[shard.ServerID]shard.ServerEntry
-	// missing are servers whose entries went away while they were not leaving. The last read of the list began at
-	// listReadAt; census tells whether it has every server that lives. follower is the place in the list, listChanges what was last
-	// read of it and is not logged yet; serversWanted asks for a read at once.
+	// missing are backend servers whose entries went away while they were not marked as leaving. follower keeps the offset up to which the
+	// list is read; the last read began at listReadAt; census tells whether every server that may live is in the list. unloggedChanges are
+	// changes of the list that are not logged yet; a send on listReadRequested has the list read at once.
 	missing map[shard.ServerID]missingServer
-	// domains is what is known of closed failure domains; refusedClosings were logged of those that it did not believe.
+	// domains has the failure domains closed to new work; refusedClosings counts the rejected closings that were logged.
 	domains         *domainlist.List
 	refusedClosings int64
-	// services are those that a configuration has ever named here: servers of others are not spoken to.
-	services      map[string]bool
-	listReadAt    time.Time
-	census        *serverlist.Census
-	follower      *serverlist.Follower
-	listChanges   listed
-	serversWanted chan struct{}
-	callers       map[submission.Call]chan submission.Answer
-	lastCal       submission.Call
-	// suspended is how long the machine had stood still when it was last looked at.
+	// services are all services that a configuration has named since the start; servers of other services are never called.
+	services          map[string]bool
+	listReadAt        time.Time
+	census            *serverlist.Census
+	follower          *serverlist.Follower
+	unloggedChanges   serverChanges
+	listReadRequested chan struct{}
+	callers           map[submission.Call]chan submission.Answer
+	lastCall          submission.Call
+	// suspended is the last value of Params.Suspended.
 	suspended time.Duration
-	// sharedAt is when the own shards' loads were told to the desk.
-	sharedAt time.Time
-	// listed is set once the list of instances was read.
-	listed bool
-	// reaches are the ways to shards that this instance may take over; asked counts the askings.
-	reaches map[shard.Name]*succession.Reach
-	asked   int
-	// leadersChanged is set once the own instance has taken a shard or left one, or the shards have changed: the next tick
-	// tells the desk.
+	// loadsSharedAt is when the loads of the own shards were last passed to the coordinator.
+	loadsSharedAt time.Time
+	// instancesRead is set once the list of instances was read from the store.
+	instancesRead bool
+	// reachability tracks whether the servers of leaderless shards in other failure domains answer; probes counts the probes sent, to
+	// alternate between the servers.
+	reachability map[shard.Name]*succession.Reach
+	probes       int
+	// leadersChanged is set when this instance took over or resigned a shard, or the set of shards changed; the next tick then updates
+	// the coordinator.
 	leadersChanged bool
-	// tickedAt is when the last tick came.
-	tickedAt time.Time
-	// openWith are the instances with which orders lie open, as of openAt.
-	openWith map[shard.InstanceID]bool
-	openAt   time.Time
-	// cfgAt is when the configuration came into force here, cfgFromPeer whether another instance passed it on.
+	// lastTickAt is the time of the last tick; zero before the first.
+	lastTickAt time.Time
+	// openOrdersWith are the instances with which unfinished orders exist, in either direction, as of openOrdersUpdatedAt.
+	openOrdersWith      map[shard.InstanceID]bool
+	openOrdersUpdatedAt time.Time
+	// cfgAt is when the configuration came into force here; cfgFromPeer is set if another instance sent it.
 	cfgAt       time.Time
 	cfgFromPeer bool
-	// passed is when a configuration was last passed to an instance.
-	passed map[shard.InstanceID]time.Time
-	// local are actions that concern this instance itself.
-	local []func(now time.Time)
+	// configSentAt is when a configuration was last sent to each instance.
+	configSentAt map[shard.InstanceID]time.Time
+	// localActions are pending actions addressed to this instance itself.
+	localActions []func(now time.Time)
 
 	mesh  *mesh.Mesh
 	group *errgroup.Group
 	ctx   context.Context //nolint:containedctx // set by Run for the calls that decisions start
 }
 
-// New returns a daemon that works while Run does.
+// New returns a daemon that is started by Run.
 func New(prm Params) *Daemon {
 	if prm.Counters == nil {
 		prm.Counters = &counters{}
@@ -144,69 +148,71 @@
 		leaders: map[shard.Name]*shard.Leader{}, uplink: shard.NewUplink(prm.Settings.LinkBytes), divisions: succession.Divisions{},
 		entries: map[shard.ServerID]shard.ServerEntry{}, missing: map[shard.ServerID]missingServer{},
 		services: map[string]bool{}, domains: domainlist.New(prm.Settings.FailureDomains),
-		callers: map[submission.Call]chan submission.Answer{},
-		passed:  map[shard.InstanceID]time.Time{},
-		reaches: map[shard.Name]*succession.Reach{}, openWith: map[shard.InstanceID]bool{},
-		follower:      serverlist.NewFollower(serverlist.DefaultConfig(prm.Settings.Instance), prm.Now()),
-		census:        serverlist.NewCensus(serverlist.CensusConfig{Return: entriesReturn, Missing: missingFor}),
-		serversWanted: make(chan struct{}, 1),
-		joined:        make(chan struct{}), configured: make(chan struct{}),
+		callers:      map[submission.Call]chan submission.Answer{},
+		configSentAt: map[shard.InstanceID]time.Time{},
+		reachability: map[shard.Name]*succession.Reach{}, openOrdersWith: map[shard.InstanceID]bool{},
+		follower:          serverlist.NewFollower(serverlist.DefaultConfig(prm.Settings.Instance), prm.Now()),
+		census:            serverlist.NewCensus(serverlist.CensusConfig{Return: entriesReturnTime, Missing: missingTimeout}),
+		listReadRequested: make(chan struct{}, 1),
+		joined:            make(chan struct{}), configured: make(chan struct{}),
 	}
 }
 
 // The times of a daemon.
 const (
-	// An instance is missed after four beats, 400 ms, and half a beat until that is looked for. With the 100 ms for
-	// stops and the lease of 600 ms, the chain stays under the 1.3 s after which a caller sends its job again.
+	// An instance is lost after four missed heartbeats, 400 ms, plus up to half an interval until the next check. Together with 100 ms for
+	// stops and the lease of 600 ms, this stays under the 1.3 s after which a caller resends its job.
 	beatInterval = 100 * time.Millisecond
 	silentBeats  = 4
-	// meshTimeout bounds a batch: 30 times the way to another failure domain and back.
+	// meshTimeout is the timeout of a batch to another instance: 30 round trips to another failure domain.
 	meshTimeout = 150 * time.Millisecond
-	// tickInterval is how late a decision by time alone may be.
+	// tickInterval is the maximum delay of a decision that depends on time alone.
 	tickInterval = 20 * time.Millisecond
-	// leastResend is the chain's sum.
-	leastResend = 1300 * time.Millisecond
-	// proof is silence, stop patience, lapse and a margin: when all that a lost leader ran for this
-	// instance is over.
-	proof = 1300 * time.Millisecond
-	// retryAfter is how long refused callers are told to stay away: the least that the header can say.
+	// minResendAfter is the sum of silence, stops and lease above: resent earlier, a job could run twice.
+	minResendAfter = 1300 * time.Millisecond
+	// orphanExpiry is silence, stop timeout, lease expiry and a margin: the time after the loss of a leader when everything that it ran
+	// for this instance is surely over.
+	orphanExpiry = 1300 * time.Millisecond
+	// retryAfter is the Retry-After of refused callers: 1 s is the least that the header can express.
 	retryAfter = time.Second
-	// vacancy is how long all shards may be without a leader before jobs are refused at once: a restart of all
-	// instances takes a second.
-	vacancy = 1500 * time.Millisecond
-	// startPatience is how long a request waits for a process that has just started.
-	startPatience = time.Second
-	// heldUpFor is how late a tick comes in a process that is short of processor: a dozen batches on a fifth of a core.
-	heldUpFor = 60 * time.Millisecond
-	// starvedFor is how long a process may come to nothing before it reads its sockets ahead of starting anything, for readTime:
-	// callers send jobs again 1.3 s after they have lost their connection, and owners start tasks elsewhere 1.7 s after they
-	// last heard a leader. On a fifth of a core some hundred batches are read within 50 ms.
-	starvedFor = 500 * time.Millisecond
-	readTime   = 50 * time.Millisecond
-	// frozenFor is how long a machine may stand still before its beliefs are stale: others are about to
-	// take its shards over.
-	frozenFor = 250 * time.Millisecond
+	// vacancyTimeout is how long all shards may be without a leader before jobs are refused at once: a restart of all instances
+	// takes 1 s.
+	vacancyTimeout = 1500 * time.Millisecond
+	// startWait is how long a request waits for a process that has just started.
+	startWait = time.Second
+	// pauseThreshold is the interval between two ticks above which a process counts as paused for lack of processor time; on a fifth of
+	// a core, a dozen batches take that long.
+	pauseThreshold = 60 * time.Millisecond
+	// After a pause of longPauseThreshold a process reads its sockets for socketReadTime before it starts any task: callers resend jobs
+	// 1.3 s after they lost their connection, and owners start tasks elsewhere 1.7 s after they last heard a leader. On a fifth
+	// of a core some hundred batches are read within 50 ms.
+	longPauseThreshold = 500 * time.Millisecond
+	socketReadTime     = 50 * time.Millisecond
+	// suspensionThreshold is how long the machine may be suspended before the state of the process is stale: other instances are then
+	// about to take over its shards.
+	suspensionThreshold = 250 * time.Millisecond
 )
 
-// Run works until ctx ends, then hands over and returns once every caller has its answer.
+// Run works until ctx ends, then hands over the shards and returns once every caller has its answer. It returns an error only if it
+// fails before ctx ends.
 func (dmn *Daemon) Run(ctx context.Context, lis Listeners) error {
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	grp, work := errgroup.WithContext(work)
 	dmn.group, dmn.ctx = grp, work
 	set := &dmn.prm.Settings
-	if set.ResendAfter > 0 && set.ResendAfter < leastResend {
+	if set.ResendAfter > 0 && set.ResendAfter < minResendAfter {
 		dmn.log.Warn().Dur("resend-after", set.ResendAfter).
-			Msg("clients send jobs again before what a lost instance ran is surely over")
+			Msg("clients resend jobs before the runs of a lost instance have surely ended")
 	}
 	dmn.log.Info().Str("failure-domain", set.FailureDomain).Str("callers", set.CallerAddress).
 		Float64("processor", set.Processor).Msg("started")
 	dmn.serveHTTP(work, countedListener{lis.Callers, &dmn.cnt.traffic.callers}, platform.Front(dmn))
 	dmn.serveHTTP(work, lis.Ready, platform.Ready(dmn))
 	dmn.serveHTTP(work, lis.Metrics, dmn.cnt.handler())
-	grp.Go(func() error { return dmn.follow(work, dmn.configurations()) })
-	grp.Go(func() error { return dmn.followServers(work) })
-	grp.Go(func() error { return dmn.follow(work, dmn.serverDigests()) })
+	grp.Go(func() error { return dmn.followTopic(work, dmn.configurations()) })
+	grp.Go(func() error { return dmn.followServerList(work) })
+	grp.Go(func() error { return dmn.followTopic(work, dmn.serverDigests()) })
 	grp.Go(func() error { return dmn.join(work, lis.Peers) })
 	if dmn.prm.SettingsPath != "" {
 		grp.Go(func() error { return dmn.watchSettings(work, dmn.prm.SettingsPath) })
@@ -214,7 +220,7 @@
 	grp.Go(func() error {
 		select {
 		case <-ctx.Done():
-			dmn.leave()
+			dmn.drain()
 		case <-work.Done():
 		}
 		stop()
@@ -228,7 +234,7 @@
 	return err
 }
 
-// serveHTTP serves until ctx ends; requests that it has read by then are answered.
+// serveHTTP serves in the background until ctx ends; requests that were read by then are still answered.
 func (dmn *Daemon) serveHTTP(ctx context.Context, lis net.Listener, hdl http.Handler) {
 	srv := &http.Server{Handler: hdl, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	dmn.group.Go(func() error {
@@ -239,22 +245,22 @@
 	})
 	dmn.group.Go(func() error {
 		<-ctx.Done()
-		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastAnswers)
+		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastAnswersTimeout)
 		defer cancel()
 		if err := srv.Shutdown(last); err != nil {
-			dmn.log.Warn().Err(err).Msg("closing connections that are not done")
+			dmn.log.Warn().Err(err).Msg("closing connections with unanswered requests")
 		}
 		return srv.Close()
 	})
 }
 
 const (
-	// headerTimeout and idleTimeout are those of the configurations seen, 3 s and 15 s, doubled.
+	// The timeouts are twice the values of the known callers' configurations, 3 s and 15 s.
 	headerTimeout = 6 * time.Second
 	idleTimeout   = 30 * time.Second
 )
 
-// join gets this life's number from the store, finds the other instances there and talks to them.
+// join registers this process in the store, creates the decision types and exchanges heartbeats with the other instances until ctx ends.
 func (dmn *Daemon) join(ctx context.Context, lis net.Listener) error {
 	set := &dmn.prm.Settings
 	life, err := dmn.register(ctx)
@@ -263,31 +269,31 @@
 	}
 	now := dmn.now()
 	dmn.mu.Lock()
-	dmn.life, dmn.round = life, life
+	dmn.incarnation, dmn.tokenRound = life, life
 	dmn.self = mesh.ID(set.Instance, life)
-	dmn.desk = submission.NewDesk(submission.Config{
-		Self: dmn.self, Domain: set.FailureDomain, Proof: proof, RetryAfter: retryAfter, Vacancy: vacancy, Link: dmn.uplink,
+	dmn.coordinator = submission.NewDesk(submission.Config{
+		Self: dmn.self, Domain: set.FailureDomain, Proof: orphanExpiry, RetryAfter: retryAfter, Vacancy: vacancyTimeout, Link: dmn.uplink,
 	}, now)
-	dmn.deskDo(dmn.desk.SetClosed(now, dmn.domains.View().Closed))
+	dmn.runCoordinatorActions(dmn.coordinator.SetClosed(now, dmn.domains.View().Closed))
 	close(dmn.joined)
-	dmn.council = succession.New(succession.DefaultConfig(), succession.Instance{
+	dmn.elector = succession.New(succession.DefaultConfig(), succession.Instance{
 		ID: dmn.self, Domain: set.FailureDomain, Processor: set.Processor,
 	}, now)
 	dmn.mesh = mesh.New(mesh.Config{
 		Name: set.Instance, Life: life, Address: set.PeerAddress, Interval: beatInterval, SilentBeats: silentBeats,
 		CallTimeout: meshTimeout, Now: dmn.now,
 	}, dmn.prm.Dial, dmn)
-	dmn.redivide(now)
+	dmn.updateShards(now)
 	dmn.mu.Unlock()
 	dmn.log.Info().Int64("life", life).Msg("registered")
-	dmn.group.Go(func() error { return dmn.follow(ctx, dmn.instances()) })
+	dmn.group.Go(func() error { return dmn.followTopic(ctx, dmn.instances()) })
 	dmn.group.Go(func() error { return dmn.runTicks(ctx) })
 	dmn.group.Go(func() error { return dmn.logTraffic(ctx) })
 	return dmn.mesh.Run(ctx, lis)
 }
 
-// register appends this process to the store's list of instances, over and over until it is there. The
-// record's offset is the number of this life: no other process ever gets it, and later ones get higher ones.
+// register appends this process to the store's list of instances, with retries until it succeeds, and returns its incarnation: the
+// record's offset plus one, which no other process gets and which is higher for later ones.
 func (dmn *Daemon) register(ctx context.Context) (int64, error) {
 	rec := platform.Record{
 		Key: dmn.prm.Settings.Instance, Value: platform.EncodeInstance(dmn.prm.Settings.PeerAddress),
@@ -299,15 +305,15 @@
 		if err == nil {
 			return off + 1, nil
 		}
-		dmn.log.Warn().Err(err).Msg("registering fails; trying again")
-		if !pause(ctx, storePause) {
+		dmn.log.Warn().Err(err).Msg("registration failed; retrying")
+		if !sleepContext(ctx, storeRetryPause) {
 			return 0, ctx.Err()
 		}
 	}
 }
 
-// pause waits and reports whether ctx goes on. No time takes no timer.
-func pause(ctx context.Context, dur time.Duration) bool {
+// sleepContext waits for dur and reports whether ctx is still live. It creates no timer if dur isn't positive.
+func sleepContext(ctx context.Context, dur time.Duration) bool {
 	if dur <= 0 {
 		return ctx.Err() == nil
 	}
@@ -319,17 +325,17 @@
 	}
 }
 
-// leave stops as planned: the balancer is told, the shards go to others, and every answer is waited for.
+// drain is the planned stop: readiness checks fail, other instances take over the shards, and outstanding answers are awaited until
+// shortly before the kill.
 //
-// Open connections stay until they are answered, with the word that they close: ended before, they would meet requests
-// that are on their way.
-func (dmn *Daemon) leave() {
+// Connections stay open until their requests are answered, with Connection: close; closed earlier, they would break requests in flight.
+func (dmn *Daemon) drain() {
 	dmn.leaving.Store(true)
 	dmn.log.Info().Msg("stopping")
 	dmn.mu.Lock()
-	if dmn.council != nil {
-		dmn.council.SetLeaving()
-		dmn.nudgeNear()
+	if dmn.elector != nil {
+		dmn.elector.SetLeaving()
+		dmn.nudgeDomain()
 	}
 	dmn.mu.Unlock()
 	began := time.Now()
@@ -339,39 +345,39 @@
 		dmn.mu.Lock()
 		open := len(dmn.callers)
 		dmn.mu.Unlock()
-		if open == 0 && time.Since(began) > balancerNotice {
+		if open == 0 && time.Since(began) > balancerDelay {
 			break
 		}
 	}
-	dmn.giveUp()
+	dmn.answerRemainingCallers()
 	dmn.log.Info().Dur("after", time.Since(began)).Msg("handed over")
 }
 
-// giveUp answers the callers who still wait; their answers go out before the connections are closed.
-func (dmn *Daemon) giveUp() {
-	now := dmn.enter()
+// answerRemainingCallers ends the jobs of all callers who still wait; the answers go out before the connections are closed.
+func (dmn *Daemon) answerRemainingCallers() {
+	now := dmn.beginEvent()
 	open := len(dmn.callers)
-	if dmn.desk != nil {
-		dmn.deskDo(dmn.desk.GiveUp())
+	if dmn.coordinator != nil {
+		dmn.runCoordinatorActions(dmn.coordinator.GiveUp())
 	}
-	dmn.exit(now)
+	dmn.endEvent(now)
 	if open > 0 {
 		dmn.log.Warn().Int("jobs", open).Msg("giving up jobs that did not end in time")
 	}
 }
 
 const (
-	// balancerNotice is how long the balancer may send new connections after the first failed check: it
-	// asks each second and believes the second answer.
-	balancerNotice = 2500 * time.Millisecond
-	// stopReserve is what is left of the time to the kill for the last answers to reach their callers.
+	// balancerDelay is how long the balancer may send new connections after the first failed readiness check: it checks each second and
+	// acts on the second failure.
+	balancerDelay = 2500 * time.Millisecond
+	// stopReserve is the part of the stop timeout that is left for the last answers to reach their callers before the kill.
 	stopReserve = 400 * time.Millisecond
-	// lastAnswers is how long requests that are being answered get at the end, with room for a slow machine.
-	lastAnswers = 200 * time.Millisecond
+	// lastAnswersTimeout is how long requests that are being answered get at the end, with a margin for a slow machine.
+	lastAnswersTimeout = 200 * time.Millisecond
 )
 
-// shardConfig returns the times of leaders, with leases no longer than backend servers grant: a longer one is
-// shortened there, and would be renewed too late.
+// shardConfig returns the timing parameters of leaders, with leases no longer than backend servers grant: a server shortens a longer
+// one, and the leader would renew it too late.
 func (dmn *Daemon) shardConfig() shard.Config {
 	cfg := shard.DefaultConfig()
 	if most := dmn.prm.Settings.LongestLease; most > 0 {
@@ -381,11 +387,10 @@
 	return cfg
 }
 
-// leaseRenewals is how often a lease is renewed before it would end: one renewal may be lost, its timeout passes,
-// and the next still comes in time.
+// leaseRenewals is the number of renewals within a lease: after a lost renewal and its timeout, the next one still comes in time.
 const leaseRenewals = 3
 
 func (dmn *Daemon) nextCall() submission.Call {
-	dmn.lastCal++
-	return dmn.lastCal
+	dmn.lastCall++
+	return dmn.lastCall
 }
--- a/internal/process/daemon/decide.go
+++ b/internal/process/daemon/decide.go
@@ -10,78 +10,79 @@
 	"chestnutstack/internal/request/submission"
 )
 
-// enter takes the lock for an event and returns the time. A process whose machine was suspended first gives up
-// what it believed: others have taken over meanwhile, and renewing leases now would keep alive what its
-// callers have sent elsewhere.
-func (dmn *Daemon) enter() time.Time {
+// beginEvent takes the lock for an event and returns the time. After a suspension of the machine it first resigns all shards: other
+// instances have taken over meanwhile, and renewed leases would keep alive runs whose jobs the callers have sent elsewhere. After a long
+// pause it has the leaders delay their starts until the sockets are read.
+func (dmn *Daemon) beginEvent() time.Time {
 	dmn.mu.Lock()
 	now := dmn.now()
 	if dmn.mesh != nil {
 		dmn.uplink.SetPeers(dmn.mesh.Outstanding())
 	}
-	if !dmn.tickedAt.IsZero() && now.Sub(dmn.tickedAt) > starvedFor {
+	if !dmn.lastTickAt.IsZero() && now.Sub(dmn.lastTickAt) > longPauseThreshold {
 		for _, ldr := range dmn.leaders {
-			ldr.HeldUp(now.Add(readTime))
+			ldr.HeldUp(now.Add(socketReadTime))
 		}
 	}
-	if slp := dmn.prm.Suspended(); slp-dmn.suspended > frozenFor {
-		dmn.thaw(now, slp-dmn.suspended)
+	if slp := dmn.prm.Suspended(); slp-dmn.suspended > suspensionThreshold {
+		dmn.handleSuspension(now, slp-dmn.suspended)
 		dmn.suspended = slp
 	}
 	return now
 }
 
-func (dmn *Daemon) thaw(now time.Time, slept time.Duration) {
+// handleSuspension resigns all shards after the machine was suspended for a time.
+func (dmn *Daemon) handleSuspension(now time.Time, slept time.Duration) {
 	dmn.log.Warn().Dur("suspended", slept).Msg("the machine was suspended; giving up its shards")
 	for name := range dmn.leaders {
-		dmn.abandon(now, name, false)
+		dmn.resignShard(now, name, false)
 	}
 }
 
-// exit carries out what the event led to and releases the lock.
-func (dmn *Daemon) exit(now time.Time) {
-	dmn.carryOut(now)
-	if dmn.desk != nil && dmn.desk.HeldBytes() > 0 {
+// endEvent executes the local actions that the event led to, resumes orders that waited for the link, and releases the lock.
+func (dmn *Daemon) endEvent(now time.Time) {
+	dmn.runLocalActions(now)
+	if dmn.coordinator != nil && dmn.coordinator.HeldBytes() > 0 {
 		dmn.uplink.SetPeers(dmn.mesh.Outstanding())
-		dmn.deskDo(dmn.desk.Resume())
-		dmn.carryOut(now)
+		dmn.runCoordinatorActions(dmn.coordinator.Resume())
+		dmn.runLocalActions(now)
 	}
 	dmn.shareLoads(now)
 	dmn.mu.Unlock()
 }
 
-// carryOut does what concerns this instance itself, and what follows from that.
-func (dmn *Daemon) carryOut(now time.Time) {
-	for len(dmn.local) > 0 {
-		next := dmn.local[0]
-		dmn.local = dmn.local[1:]
+// runLocalActions executes the actions addressed to this instance itself, and those that follow from them.
+func (dmn *Daemon) runLocalActions(now time.Time) {
+	for len(dmn.localActions) > 0 {
+		next := dmn.localActions[0]
+		dmn.localActions = dmn.localActions[1:]
 		next(now)
 	}
-	dmn.local = nil
+	dmn.localActions = nil
 }
 
-// shareInterval is how old the own shards' loads may be in what the desk and the others are told; a task that
-// goes after room that is gone bounces within 2 ms.
-const shareInterval = 4 * time.Millisecond
+// loadShareInterval is the maximum age of the own shards' loads that the coordinator uses. It may be short of the real state: an order
+// sent for capacity that is gone is returned within 2 ms.
+const loadShareInterval = 4 * time.Millisecond
 
-// shareLoads tells the own desk what room the own shards have; the others hear it with each beat.
+// shareLoads passes the loads of the own shards to the own coordinator; other instances get them with each heartbeat.
 func (dmn *Daemon) shareLoads(now time.Time) {
-	if dmn.desk == nil || len(dmn.leaders) == 0 || now.Sub(dmn.sharedAt) < shareInterval {
+	if dmn.coordinator == nil || len(dmn.leaders) == 0 || now.Sub(dmn.loadsSharedAt) < loadShareInterval {
 		return
 	}
-	dmn.sharedAt = now
-	queued := dmn.desk.HeldBytes()
+	dmn.loadsSharedAt = now
+	queued := dmn.coordinator.HeldBytes()
 	for _, ldr := range dmn.leaders {
 		queued += ldr.WaitingBytes()
 	}
 	dmn.uplink.SetQueued(queued)
 	for name, ldr := range dmn.leaders {
-		dmn.deskDo(dmn.desk.SetLoad(name, ldr.Load(now)))
+		dmn.runCoordinatorActions(dmn.coordinator.SetLoad(name, ldr.Load(now)))
 	}
-	dmn.carryOut(now)
+	dmn.runLocalActions(now)
 }
 
-// runTicks drives what is due by time alone.
+// runTicks triggers decisions that depend on time alone, each tickInterval until ctx ends.
 func (dmn *Daemon) runTicks(ctx context.Context) error {
 	tck := time.NewTicker(tickInterval)
 	defer tck.Stop()
@@ -91,28 +92,29 @@
 			return nil
 		case <-tck.C:
 		}
-		now := dmn.enter()
+		now := dmn.beginEvent()
 		dmn.tick(now)
-		dmn.exit(now)
+		dmn.endEvent(now)
 	}
 }
 
+// tick detects pauses of the process, resigns and takes over shards, and passes the time to the leaders and the coordinator.
 func (dmn *Daemon) tick(now time.Time) {
-	if pause := now.Sub(dmn.tickedAt); pause > heldUpFor {
-		dmn.council.HeldUp(now) // So is a process that has just started.
-		dmn.logHeldUp(pause)
+	if pause := now.Sub(dmn.lastTickAt); pause > pauseThreshold {
+		dmn.elector.HeldUp(now) // Also at the first tick: a process that has just started has heard nobody yet.
+		dmn.logPause(pause)
 	}
-	dmn.tickedAt = now
-	if dmn.listed && dmn.cfg.Load() != nil && dmn.domains.Known() && len(dmn.entries) > 0 {
-		if !dmn.council.Ready() {
-			dmn.council.SetReady(now)
-			// Two instances that don't know of each other that they are ready would both take a shard over.
-			dmn.nudgeNear()
+	dmn.lastTickAt = now
+	if dmn.instancesRead && dmn.cfg.Load() != nil && dmn.domains.Known() && len(dmn.entries) > 0 {
+		if !dmn.elector.Ready() {
+			dmn.elector.SetReady(now)
+			// Two ready instances that don't know of each other's readiness would both take over a shard.
+			dmn.nudgeDomain()
 		}
 	}
-	dmn.leaveWeaker(now)
-	dmn.leaveDisobeyed(now)
-	for _, shd := range dmn.council.Decide(now) {
+	dmn.resignSuperseded(now)
+	dmn.resignUnreachable(now)
+	for _, shd := range dmn.elector.Decide(now) {
 		if shd.Domain == dmn.prm.Settings.FailureDomain || dmn.reachable(now, shd) {
 			dmn.takeOver(now, shd.Name)
 		}
@@ -122,121 +124,121 @@
 		dmn.updateLeaders()
 		dmn.updatePaces()
 	}
-	dmn.updateOpen(now)
+	dmn.updateOpenOrders(now)
 	closedRuns := 0
 	for name, ldr := range dmn.leaders {
-		dmn.shardDo(name, ldr.Tick(now))
+		dmn.runLeaderActions(name, ldr.Tick(now))
 		closedRuns += ldr.RunsWhileClosed()
 	}
 	dmn.cnt.closedRuns.Store(int64(closedRuns))
-	dmn.deskDo(dmn.desk.Tick(now))
+	dmn.runCoordinatorActions(dmn.coordinator.Tick(now))
 }
 
-// leaveWeaker leaves the shards that another instance leads with a newer token.
-func (dmn *Daemon) leaveWeaker(now time.Time) {
-	for _, name := range dmn.council.Weaker() {
-		dmn.abandon(now, name, false)
+// resignSuperseded resigns the shards that another instance leads with a newer token.
+func (dmn *Daemon) resignSuperseded(now time.Time) {
+	for _, name := range dmn.elector.Weaker() {
+		dmn.resignShard(now, name, false)
 	}
-	dmn.carryOut(now)
+	dmn.runLocalActions(now)
 }
 
-// leaveDisobeyed leaves the shards of other failure domains whose servers all have stopped answering, or never did. They are cut off, and
-// more likely led by their own instances, which would follow this one's newer token at the end of the cut.
-func (dmn *Daemon) leaveDisobeyed(now time.Time) {
-	for shd := range dmn.divided {
+// resignUnreachable resigns the shards of other failure domains whose servers have all stopped answering, or never answered. Such a
+// domain is cut off and probably led by its own instances, which would yield to this instance's newer token when the cut ends.
+func (dmn *Daemon) resignUnreachable(now time.Time) {
+	for shd := range dmn.serversByShard {
 		ldr := dmn.leaders[shd.Name]
 		if shd.Domain != dmn.prm.Settings.FailureDomain && ldr != nil && ldr.Disobeyed(now) {
-			dmn.abandon(now, shd.Name, false)
+			dmn.resignShard(now, shd.Name, false)
 		}
 	}
-	dmn.carryOut(now)
+	dmn.runLocalActions(now)
 }
 
-// logHeldUp tells how long the process came to nothing: whether it, or another one, was short of processor is what
-// explains most of what it missed.
-func (dmn *Daemon) logHeldUp(pause time.Duration) {
-	if dmn.tickedAt.IsZero() {
+// logPause logs and counts a pause of this process: lack of processor time, here or on another instance, explains most missed deadlines.
+func (dmn *Daemon) logPause(pause time.Duration) {
+	if dmn.lastTickAt.IsZero() {
 		return
 	}
-	dmn.cnt.heldUps.Add(1)
+	dmn.cnt.pauses.Add(1)
 	dmn.log.Info().Dur("pause", pause).Msg("held up")
 }
 
-// takeOver makes this instance the leader of a shard.
+// takeOver makes this instance the leader of a shard, with a new fencing token.
 func (dmn *Daemon) takeOver(now time.Time, name shard.Name) {
-	tok := dmn.token()
+	tok := dmn.nextToken()
 	dmn.divisions.Confirm()
 	ldr := shard.NewLeader(dmn.shardConfig(), dmn.uplink, name, tok, now)
 	dmn.leaders[name] = ldr
-	dmn.council.Took(now, name, tok)
+	dmn.elector.Took(now, name, tok)
 	dmn.leadersChanged = true
 	dmn.log.Info().Str("shard", string(name)).Int64("token", tok).Msg("taking the shard over")
-	for shd := range dmn.divided {
+	for shd := range dmn.serversByShard {
 		if shd.Name == name {
-			dmn.shardDo(name, ldr.SetClosed(now, dmn.domains.Closed(shd.Domain)))
-			dmn.shardDo(name, ldr.SetServers(now, dmn.listing(now, shd)))
+			dmn.runLeaderActions(name, ldr.SetClosed(now, dmn.domains.Closed(shd.Domain)))
+			dmn.runLeaderActions(name, ldr.SetServers(now, dmn.shardListing(now, shd)))
 		}
 	}
 	dmn.mesh.Nudge()
-	// The former leader may have taken in servers that were added since the last read.
-	dmn.wantServers()
+	// The former leader may have used servers that were added after this instance's last read.
+	dmn.requestListRead()
 }
 
-// token returns a fencing token that no other instance ever uses, higher than all it has heard of.
-func (dmn *Daemon) token() int64 {
-	dmn.round++
-	return dmn.round<<lifeBits | dmn.life&(1<<lifeBits-1)
+// nextToken returns a fencing token that no other instance ever uses, higher than all that this one has heard of: the round, then the
+// low bits of the incarnation.
+func (dmn *Daemon) nextToken() int64 {
+	dmn.tokenRound++
+	return dmn.tokenRound<<incarnationBits | dmn.incarnation&(1<<incarnationBits-1)
 }
 
-// lifeBits is the part of a token that names its holder: a million lives of instances, and as many rounds
-// stay below the 53 bits that every JSON reader keeps.
-const lifeBits = 20
+// incarnationBits is the number of low bits of a token that identify its holder. A million incarnations and a million rounds fit
+// into 40 bits, below the 53 bits that every JSON reader preserves.
+const incarnationBits = 20
 
-// abandon gives a shard up.
-func (dmn *Daemon) abandon(now time.Time, name shard.Name, fenced bool) {
+// resignShard ends the leadership of a shard; fenced says that a backend server has rejected the token for a newer one.
+func (dmn *Daemon) resignShard(now time.Time, name shard.Name, fenced bool) {
 	ldr := dmn.leaders[name]
 	delete(dmn.leaders, name)
-	dmn.shardDo(name, ldr.Resign())
-	dmn.council.Left(now, name, fenced)
+	dmn.runLeaderActions(name, ldr.Resign())
+	dmn.elector.Left(now, name, fenced)
 	dmn.leadersChanged = true
 	dmn.log.Info().Str("shard", string(name)).Bool("fenced", fenced).Msg("leaving the shard")
 }
 
-// updateOpen notes the instances with which orders lie open, on either side.
-func (dmn *Daemon) updateOpen(now time.Time) {
-	if now.Sub(dmn.openAt) < beatInterval {
+// updateOpenOrders updates the instances with which unfinished orders exist, at most once per heartbeat interval.
+func (dmn *Daemon) updateOpenOrders(now time.Time) {
+	if now.Sub(dmn.openOrdersUpdatedAt) < beatInterval {
 		return
 	}
-	dmn.openAt = now
-	clear(dmn.openWith)
+	dmn.openOrdersUpdatedAt = now
+	clear(dmn.openOrdersWith)
 	for _, ldr := range dmn.leaders {
-		ldr.Owners(dmn.openWith)
+		ldr.Owners(dmn.openOrdersWith)
 	}
-	dmn.desk.Leaders(dmn.openWith)
+	dmn.coordinator.Leaders(dmn.openOrdersWith)
 	dmn.updatePaces()
 }
 
-// noteOrder notes an order that is about to lie open between this instance and another one: from now on each of them misses
-// the other after four beats, as the chain of leases needs.
-func (dmn *Daemon) noteOrder(id shard.InstanceID) {
-	if !dmn.openWith[id] && id != dmn.self {
-		dmn.openWith[id] = true
+// noteOpenOrder notes an order that is about to be open between this instance and another one: from now on each sends the other a
+// heartbeat at every interval, so that a loss is noticed after four, as lease expiry requires.
+func (dmn *Daemon) noteOpenOrder(id shard.InstanceID) {
+	if !dmn.openOrdersWith[id] && id != dmn.self {
+		dmn.openOrdersWith[id] = true
 		dmn.updatePaces()
 	}
 }
 
-// updateLeaders tells the desk who leads what.
+// updateLeaders passes the leader of each shard to the coordinator.
 func (dmn *Daemon) updateLeaders() {
-	for shd := range dmn.divided {
-		led, tok := dmn.council.Leader(shd)
+	for shd := range dmn.serversByShard {
+		led, tok := dmn.elector.Leader(shd)
 		tgt := submission.Target{Shard: shd.Name, Leader: led, Token: tok}
-		dmn.deskDo(dmn.desk.SetLeader(tgt, shd.Domain))
+		dmn.runCoordinatorActions(dmn.coordinator.SetLeader(tgt, shd.Domain))
 	}
 }
 
-// redivide cuts the listed backend servers into shards.
-func (dmn *Daemon) redivide(now time.Time) {
-	if dmn.council == nil {
+// updateShards divides the listed backend servers into shards, updates the leaders' servers and resigns shards that no longer exist.
+func (dmn *Daemon) updateShards(now time.Time) {
+	if dmn.elector == nil {
 		return
 	}
 	ents := make([]shard.ServerEntry, 0, len(dmn.entries))
@@ -245,25 +247,25 @@
 			ents = append(ents, ent)
 		}
 	}
-	dmn.divided = dmn.divisions.Divide(ents)
+	dmn.serversByShard = dmn.divisions.Divide(ents)
 	for _, mis := range dmn.missing {
-		// A leader that gave its shard up for want of entries left its servers' leases to lapse, and what ran there was lost.
-		if now.Sub(mis.since) <= missingFor && dmn.services[mis.ent.Service] {
-			dmn.divisions.Keep(dmn.divided, mis.ent.FailureDomain)
+		// Without its shard a leader would resign for want of entries, its servers' leases would expire, and their runs would be lost.
+		if now.Sub(mis.since) <= missingTimeout && dmn.services[mis.ent.Service] {
+			dmn.divisions.Keep(dmn.serversByShard, mis.ent.FailureDomain)
 		}
 	}
-	dmn.council.SetShards(succession.Sorted(dmn.divided))
+	dmn.elector.SetShards(succession.Sorted(dmn.serversByShard))
 	dmn.leadersChanged = true
 	gone := maps.Clone(dmn.leaders)
-	for shd := range dmn.divided {
+	for shd := range dmn.serversByShard {
 		delete(gone, shd.Name)
 		if ldr := dmn.leaders[shd.Name]; ldr != nil {
-			dmn.shardDo(shd.Name, ldr.SetServers(now, dmn.listing(now, shd)))
+			dmn.runLeaderActions(shd.Name, ldr.SetServers(now, dmn.shardListing(now, shd)))
 		}
 	}
 	for name := range gone {
 		if len(dmn.entries) > 0 {
-			dmn.abandon(now, name, false)
+			dmn.resignShard(now, name, false)
 		}
 	}
 }
--- a/internal/process/daemon/doc.go
+++ b/internal/process/daemon/doc.go
@@ -1,3 +1,3 @@
-// Package daemon is an entry instance on the users' platform: the shell that gives the decisions of
-// packages shard, submission and succession their clock, sockets, locks and logs.
+// Package daemon runs an instance on the users' platform: it connects the decision types of packages shard, submission and succession
+// to the clock, the network, the store, the log and the lock.
 package daemon
--- a/internal/process/daemon/entry.go
+++ b/internal/process/daemon/entry.go
@@ -11,11 +11,11 @@
 	"chestnutstack/internal/version/config"
 )
 
-// Configuration implements platform.Entry.
+// Configuration implements platform.Entry: it returns the configuration in force, nil if there is none yet.
 func (dmn *Daemon) Configuration() *config.Configuration { return dmn.cfg.Load() }
 
-// AwaitStart implements platform.Entry. Requests that reach a process in its first second are served a little
-// later; that they had to come again would cost their callers more.
+// AwaitStart implements platform.Entry: it waits at most startWait until the instance is registered and configured. A request in a
+// process's first second is served a little later; a refusal and a retry would cost its caller more.
 func (dmn *Daemon) AwaitStart(ctx context.Context) {
 	select {
 	case <-dmn.joined:
@@ -26,7 +26,7 @@
 		}
 	default:
 	}
-	tmr := time.NewTimer(startPatience)
+	tmr := time.NewTimer(startWait)
 	defer tmr.Stop()
 	for _, chn := range []chan struct{}{dmn.configured, dmn.joined} {
 		select {
@@ -39,32 +39,32 @@
 	}
 }
 
-// Serving implements platform.Entry.
+// Serving implements platform.Entry: it reports whether new connections are welcome, which they aren't while the process stops.
 func (dmn *Daemon) Serving() bool { return !dmn.leaving.Load() }
 
-// Waiting implements platform.Entry.
+// Waiting implements platform.Entry: it returns how many submissions of a route have not begun.
 func (dmn *Daemon) Waiting(rte config.Route) int {
 	dmn.mu.Lock()
 	defer dmn.mu.Unlock()
-	if dmn.desk == nil {
+	if dmn.coordinator == nil {
 		return 0
 	}
-	return dmn.desk.Waiting(rte.Name())
+	return dmn.coordinator.Waiting(rte.Name())
 }
 
-// Refused implements platform.Entry.
+// Refused implements platform.Entry: it logs and counts a request that was answered without being submitted.
 func (dmn *Daemon) Refused(request, reason string, status int) {
 	dmn.cnt.refusals.Add(1)
 	dmn.log.Info().Str("request", request).Str("reason", reason).Int("status", status).Msg("refused")
 }
 
-// Submit implements platform.Entry.
+// Submit implements platform.Entry: it submits a job and waits for its answer, or until ctx ends because the caller has gone.
 func (dmn *Daemon) Submit(ctx context.Context, rte config.Route, sub submission.Submission) submission.Answer {
 	sub.Route = rte.Name()
 	dmn.cnt.submissions.Add(1)
-	now := dmn.enter()
-	if dmn.desk == nil {
-		dmn.exit(now)
+	now := dmn.beginEvent()
+	if dmn.coordinator == nil {
+		dmn.endEvent(now)
 		return submission.Answer{
 			Result: submission.NotRun, RetryAfter: retryAfter, Reason: "this instance is not registered yet",
 		}
@@ -75,24 +75,24 @@
 	dmn.log.Info().Str("request", sub.Request).Str("job", sub.ID).Str("route", sub.Route).
 		Int("priority", sub.Priority).Dur("patience", sub.Patience).Int64("config", dmn.cfg.Load().Version()).
 		Msg("submitted")
-	dmn.deskDo(dmn.desk.Submit(now, cal, sub))
-	dmn.exit(now)
+	dmn.runCoordinatorActions(dmn.coordinator.Submit(now, cal, sub))
+	dmn.endEvent(now)
 	select {
 	case ans := <-chn:
-		dmn.answered(&sub, ans, now)
+		dmn.recordAnswer(&sub, ans, now)
 		return ans
 	case <-ctx.Done():
 	}
-	gone := dmn.enter()
+	gone := dmn.beginEvent()
 	delete(dmn.callers, cal)
-	dmn.deskDo(dmn.desk.CallerGone(cal))
-	dmn.exit(gone)
+	dmn.runCoordinatorActions(dmn.coordinator.CallerGone(cal))
+	dmn.endEvent(gone)
 	ans := submission.Answer{Result: submission.Unfinished, Reason: "the caller closed its connection"}
-	dmn.answered(&sub, ans, now)
+	dmn.recordAnswer(&sub, ans, now)
 	return ans
 }
 
-// logReport tells what came of an order. That it began is in its start's line, too.
+// logReport logs the outcome of an order; the begin of a run only at debug level, as the log line of its start has it.
 func (dmn *Daemon) logReport(from shard.InstanceID, rep shard.Report) {
 	lvl := zerolog.InfoLevel
 	if rep.Outcome == shard.Begun {
--- a/internal/process/daemon/follow.go
+++ b/internal/process/daemon/follow.go
@@ -12,85 +12,88 @@
 )
 
 const (
-	// storeTimeout bounds a call to the store besides what it waits: a slow store takes 0.4 s an answer.
+	// storeTimeout is the timeout of a call to the store, besides the time for which a read waits for records: a slow store answers
+	// in 0.4 s.
 	storeTimeout = 1500 * time.Millisecond
-	// storePause is the pause after a failed call: all instances together may make 600 writes and 2,000
-	// reads a second.
-	storePause = 200 * time.Millisecond
+	// storeRetryPause is the pause after a failed call: the store allows all instances together 600 writes and 2,000 reads a second.
+	storeRetryPause = 200 * time.Millisecond
 )
 
-// fromStore names the store in logs as the source of what was learnt.
+// fromStore is the value of the log key "from" for data that was read from the store.
 const fromStore = "store"
 
-// topicReader says how a topic is followed.
-type topicReader struct {
+// topicSubscription is a topic that is followed, and what happens to its records.
+type topicSubscription struct {
 	topic platform.Topic
-	// wait is how long a read waits for news.
+	// wait is how long a read waits for new records.
 	wait time.Duration
-	// take gets records.
-	take func(bat batch)
+	// handle processes the records of each read.
+	handle func(bat batch)
 }
 
 // batch has the records that a read of a topic returned.
 type batch struct {
 	recs []platform.Record
-	// from is the offset of the first record, negative if these are the newest of all keys; next is where to go on reading.
+	// from is the offset of the first record, or negative if the batch has the newest record of each key; next is the offset of the
+	// next read.
 	from, next int64
 }
 
-// configurations waits for news: an operator's change is to be in force within two seconds. A channel
-// that has gone silent is found after the wait.
-func (dmn *Daemon) configurations() topicReader {
-	return topicReader{
+// configurations is the subscription to configurations and closings of failure domains. A read waits 1 s: an operator's change has to
+// be in force within 2 s, and a connection that went dead is only noticed after the wait.
+func (dmn *Daemon) configurations() topicSubscription {
+	return topicSubscription{
 		topic: platform.ConfigurationTopic, wait: time.Second,
-		take: func(bat batch) {
-			// First of all, so that an instance that gets its first configuration knows where not to start anything.
-			dmn.takeClosings(bat)
+		handle: func(bat batch) {
+			// Before the configuration, so that an instance with its first one knows in which failure domains to start nothing.
+			dmn.handleClosings(bat)
 			for _, rec := range bat.recs {
 				if rec.Key == platform.ConfigurationKey && rec.Value != nil {
-					dmn.takeConfiguration(rec.Value, fromStore)
+					dmn.applyConfiguration(rec.Value, fromStore)
 				}
 			}
 		},
 	}
 }
 
-func (dmn *Daemon) instances() topicReader {
-	return topicReader{topic: platform.InstancesTopic, wait: 10 * time.Second, take: dmn.takeInstances}
+// instances is the subscription to the list of instances.
+func (dmn *Daemon) instances() topicSubscription {
+	return topicSubscription{topic: platform.InstancesTopic, wait: 10 * time.Second, handle: dmn.handleInstances}
 }
 
-// follow reads a topic until ctx ends: all newest records first, then what comes after them.
-func (dmn *Daemon) follow(ctx context.Context, rdr topicReader) error {
+// followTopic reads a topic until ctx ends: first the newest record of each key, then the records after them. It starts over if the
+// store has compacted the records that it would read next.
+func (dmn *Daemon) followTopic(ctx context.Context, rdr topicSubscription) error {
 	next := int64(-1)
 	sto := storeState{topic: rdr.topic}
 	for ctx.Err() == nil {
 		var err error
-		next, err = dmn.readOnce(ctx, rdr, next)
+		next, err = dmn.readTopic(ctx, rdr, next)
 		if ctx.Err() != nil {
 			return nil
 		}
-		dmn.noteStore(&sto, err)
+		dmn.logStoreState(&sto, err)
 		switch {
 		case errors.Is(err, platform.ErrCompacted):
 			next = -1
 		case err != nil:
-			pause(ctx, storePause)
+			sleepContext(ctx, storeRetryPause)
 		}
 	}
 	return nil
 }
 
-// storeState is whether the store answers reads of a topic.
+// storeState has the outcome of the last read of a topic: lost is set while reads fail.
 type storeState struct {
 	topic platform.Topic
 	lost  bool
 }
 
-// noteStore tells when the store stops answering and when it answers again.
-func (dmn *Daemon) noteStore(sto *storeState, err error) {
+// logStoreState logs when the store stops answering and when it answers again.
+func (dmn *Daemon) logStoreState(sto *storeState, err error) {
 	switch {
 	case errors.Is(err, platform.ErrCompacted):
-		dmn.log.Info().Str("topic", string(sto.topic)).Msg("records are gone; reading the newest")
+		dmn.log.Info().Str("topic", string(sto.topic)).Msg("records were compacted; reading the newest")
 	case err != nil && !sto.lost:
 		sto.lost = true
 		dmn.log.Warn().Err(err).Str("topic", string(sto.topic)).Msg("store lost")
@@ -100,8 +103,8 @@
 	}
 }
 
-// readOnce reads from an offset on, all newest records from -1, and returns where to go on.
-func (dmn *Daemon) readOnce(ctx context.Context, rdr topicReader, from int64) (int64, error) {
+// readTopic reads a topic from an offset on, or the newest record of each key if from is negative, and returns the next offset to read.
+func (dmn *Daemon) readTopic(ctx context.Context, rdr topicSubscription, from int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout+rdr.wait)
 	defer cancel()
 	dmn.cnt.storeReads.Add(1)
@@ -110,26 +113,26 @@
 		if err != nil {
 			return from, err
 		}
-		rdr.take(batch{recs: recs, from: from, next: next})
+		rdr.handle(batch{recs: recs, from: from, next: next})
 		return next, nil
 	}
 	recs, next, err := dmn.prm.Store.Read(ctx, rdr.topic, from, rdr.wait)
 	if err != nil {
 		return from, err
 	}
-	rdr.take(batch{recs: recs, from: from, next: next})
+	rdr.handle(batch{recs: recs, from: from, next: next})
 	return next, nil
 }
 
-// takeConfiguration puts a configuration in force if it is newer than the one that is.
-func (dmn *Daemon) takeConfiguration(data []byte, from string) {
+// applyConfiguration decodes a configuration and puts it in force if it is newer than the present one.
+func (dmn *Daemon) applyConfiguration(data []byte, from string) {
 	cfg, err := platform.DecodeConfiguration(data)
 	if err != nil {
 		dmn.log.Error().Err(err).Str("from", from).Msg("configuration is unreadable; the one in force stays")
 		return
 	}
-	now := dmn.enter()
-	defer dmn.exit(now)
+	now := dmn.beginEvent()
+	defer dmn.endEvent(now)
 	if old := dmn.cfg.Load(); old != nil && old.Version() >= cfg.Version() {
 		return
 	}
@@ -139,13 +142,13 @@
 		close(dmn.configured)
 	}
 	dmn.log.Info().Int64("version", cfg.Version()).Str("from", from).Msg("configuration in force")
-	if dmn.nameServices(cfg) {
-		dmn.redivide(now)
+	if dmn.addServices(cfg) {
+		dmn.updateShards(now)
 	}
 }
 
-// nameServices notes the services of a configuration and reports whether any is new.
-func (dmn *Daemon) nameServices(cfg *config.Configuration) bool {
+// addServices adds the services of a configuration to the known ones and reports whether any is new.
+func (dmn *Daemon) addServices(cfg *config.Configuration) bool {
 	fresh := false
 	for _, name := range cfg.Services() {
 		fresh = fresh || !dmn.services[name]
@@ -154,8 +157,8 @@
 	return fresh
 }
 
-// takeInstances takes in records of the list of entry instances.
-func (dmn *Daemon) takeInstances(bat batch) {
+// handleInstances passes the addresses in records of the list of instances to the mesh.
+func (dmn *Daemon) handleInstances(bat batch) {
 	var prs []mesh.Peer
 	for _, rec := range bat.recs {
 		if rec.Value == nil {
@@ -169,7 +172,7 @@
 		prs = append(prs, mesh.Peer{Name: rec.Key, Address: adr})
 	}
 	dmn.mesh.SetPeers(prs)
-	now := dmn.enter()
-	defer dmn.exit(now)
-	dmn.listed = true
+	now := dmn.beginEvent()
+	defer dmn.endEvent(now)
+	dmn.instancesRead = true
 }
--- a/internal/process/daemon/grown_bench_test.go
+++ b/internal/process/daemon/grown_bench_test.go
@@ -37,7 +37,7 @@
 			used += processorTime(ben) - began
 			for _, prc := range wld.entries {
 				calls += prc.dmn.mesh.Stats().Calls
-				looks += prc.dmn.cnt.looks.Load()
+				looks += prc.dmn.cnt.renewals.Load()
 			}
 		})
 	}
--- a/internal/process/daemon/heard.go
+++ b/internal/process/daemon/heard.go
@@ -10,46 +10,47 @@
 	"chestnutstack/internal/request/submission"
 )
 
-// Beat implements mesh.Handler.
+// Beat implements mesh.Handler: it returns the content of this instance's next heartbeat.
 func (dmn *Daemon) Beat() mesh.Beat {
 	dmn.mu.Lock()
 	defer dmn.mu.Unlock()
 	bet := mesh.Beat{
-		Domain: dmn.prm.Settings.FailureDomain, Processor: dmn.prm.Settings.Processor, Ready: dmn.council.Ready(),
-		Leaving: dmn.leaving.Load(), Round: dmn.round, Divisions: maps.Clone(dmn.divisions), Domains: dmn.domains.View(),
+		Domain: dmn.prm.Settings.FailureDomain, Processor: dmn.prm.Settings.Processor, Ready: dmn.elector.Ready(),
+		Leaving: dmn.leaving.Load(), Round: dmn.tokenRound, Divisions: maps.Clone(dmn.divisions), Domains: dmn.domains.View(),
 	}
 	if cfg := dmn.cfg.Load(); cfg != nil {
 		bet.ConfigVersion = cfg.Version()
 	}
 	now := dmn.now()
-	bet.ListedTo = dmn.listedTo(now)
+	bet.ListedTo = dmn.completeListOffset(now)
 	for name, ldr := range dmn.leaders {
-		// The room that has just come free goes with the report of the end that freed it; the next beat may be 400 ms away.
+		// Capacity that becomes free later goes with the report of the run's end; the next heartbeat may be 400 ms away.
 		bet.Leads = append(bet.Leads, mesh.Lead{Shard: name, Token: ldr.Token(), Load: ldr.Load(now)})
 	}
 	return bet
 }
 
-// Heard implements mesh.Handler.
+// Heard implements mesh.Handler: it processes a heartbeat and the messages of an instance that was alive at a time, by the own clock.
 func (dmn *Daemon) Heard(from shard.InstanceID, at time.Time, bet mesh.Beat, msgs []mesh.Message) {
-	now := dmn.enter()
-	defer dmn.exit(now)
+	now := dmn.beginEvent()
+	defer dmn.endEvent(now)
 	for _, ldr := range dmn.leaders {
 		ldr.OwnerHeard(from, at)
 	}
-	dmn.hear(now, from, bet)
+	dmn.handleBeat(now, from, bet)
 	for _, msg := range msgs {
-		dmn.takeMessage(now, from, msg)
+		dmn.handleMessage(now, from, msg)
 	}
 }
 
-func (dmn *Daemon) hear(now time.Time, from shard.InstanceID, bet mesh.Beat) {
-	dmn.round = max(dmn.round, bet.Round)
+// handleBeat merges the state in another instance's heartbeat and updates leaders and heartbeat intervals if leadership changed.
+func (dmn *Daemon) handleBeat(now time.Time, from shard.InstanceID, bet mesh.Beat) {
+	dmn.tokenRound = max(dmn.tokenRound, bet.Round)
 	dmn.mergeClosings(now, from, bet.Domains)
-	dmn.hearListed(now, from, bet.ListedTo)
+	dmn.handleCompleteOffset(now, from, bet.ListedTo)
 	if dmn.divisions.Merge(bet.Divisions) {
 		dmn.log.Info().Str("from", string(from)).Interface("divisions", bet.Divisions).Msg("division into shards changed")
-		dmn.redivide(now)
+		dmn.updateShards(now)
 	}
 	ins := succession.Instance{
 		ID: from, Domain: bet.Domain, Processor: bet.Processor,
@@ -58,136 +59,137 @@
 	for _, led := range bet.Leads {
 		ins.Leads[led.Shard] = led.Token
 	}
-	fresh, changed := dmn.council.Heard(ins)
+	fresh, changed := dmn.elector.Heard(ins)
 	if fresh {
 		dmn.log.Info().Str("peer", string(from)).Msg("instance heard")
 	}
 	if changed {
-		// First of all: a shard that another one leads by now is not led here until the next tick, or its orders would be both here
+		// Before anything else, not at the next tick: a shard that another instance leads by now would have its orders on both.
 		// and there.
-		dmn.leaveWeaker(now)
+		dmn.resignSuperseded(now)
 		dmn.updateLeaders()
 		dmn.updatePaces()
 	}
 	for _, led := range bet.Leads {
-		if dmn.desk.Leads(submission.Target{Shard: led.Shard, Leader: from, Token: led.Token}) {
-			dmn.deskDo(dmn.desk.SetLoad(led.Shard, led.Load))
+		if dmn.coordinator.Leads(submission.Target{Shard: led.Shard, Leader: from, Token: led.Token}) {
+			dmn.runCoordinatorActions(dmn.coordinator.SetLoad(led.Shard, led.Load))
 		}
 	}
 	if data := dmn.cfgData.Load(); data != nil && bet.ConfigVersion < dmn.cfg.Load().Version() {
-		dmn.passConfiguration(now, from, *data)
+		dmn.sendConfiguration(now, from, *data)
 	}
 }
 
-// passConfiguration gives a peer a newer configuration than it has, as the store may be out of its reach.
+// sendConfiguration sends a configuration to an instance with an older one, as the store may be out of its reach.
 //
-// A large one has a megabyte, and 40 instances that all pass it to all would stop the system; so a peer gets the time to
-// read it by itself, and then the others send it in turn: its neighbours first, who hear it most often, and the others in an
-// order that differs from peer to peer.
-func (dmn *Daemon) passConfiguration(now time.Time, to shard.InstanceID, data []byte) {
-	turn := time.Duration(dmn.council.Turn(to))
-	after := passAfter
+// A large configuration has 1 MB, and 40 instances that all sent it to all would saturate the network. So the other instance first gets
+// the time to read it from the store; then the senders take turns: its neighbours first, whose heartbeats it gets most often, the others
+// in an order that differs by receiver.
+func (dmn *Daemon) sendConfiguration(now time.Time, to shard.InstanceID, data []byte) {
+	turn := time.Duration(dmn.elector.Turn(to))
+	after := configSendDelay
 	if dmn.cfgFromPeer {
-		after = 0 // The store is out of this instance's reach, and more likely out of the peer's, too.
+		after = 0 // The store is out of this instance's reach, so probably out of the other's, too.
 	}
-	if now.Sub(dmn.cfgAt) < after+turn*passTurn || now.Sub(dmn.passed[to]) < passPause {
+	if now.Sub(dmn.cfgAt) < after+turn*configSendStagger || now.Sub(dmn.configSentAt[to]) < configSendPause {
 		return
 	}
-	dmn.passed[to] = now
+	dmn.configSentAt[to] = now
 	dmn.mesh.Send(to, mesh.Configuration{Data: data})
 }
 
 const (
-	// passAfter is the time in which a peer reads a new configuration from a sound store, passTurn what each sender
-	// leaves to the one before it: two of them fail before the two seconds are over that a change may take.
-	passAfter = 500 * time.Millisecond
-	passTurn  = 400 * time.Millisecond
-	// passPause leaves a peer the time to say that it has the configuration.
-	passPause = time.Second
+	// configSendDelay is the time in which an instance reads a new configuration from a working store; configSendStagger is the time
+	// between the turns of two senders. Two of them may fail within the 2 s that a configuration change may take.
+	configSendDelay   = 500 * time.Millisecond
+	configSendStagger = 400 * time.Millisecond
+	// configSendPause is the minimum time between two sends to an instance, so that it can report that it has the configuration.
+	configSendPause = time.Second
 )
 
-func (dmn *Daemon) takeMessage(now time.Time, from shard.InstanceID, msg mesh.Message) {
+// handleMessage processes a message of another instance.
+func (dmn *Daemon) handleMessage(now time.Time, from shard.InstanceID, msg mesh.Message) {
 	switch msg := msg.(type) {
 	case mesh.Order:
 		dmn.placeOrder(now, submission.Target{Shard: msg.Shard, Leader: dmn.self, Token: msg.Token}, msg.Order)
 	case mesh.Withdrawal:
-		if ldr := dmn.leader(msg.Shard, msg.Token); ldr != nil {
-			dmn.shardDo(msg.Shard, ldr.Cancel(now, from, msg.Task))
+		if ldr := dmn.leaderWithToken(msg.Shard, msg.Token); ldr != nil {
+			dmn.runLeaderActions(msg.Shard, ldr.Cancel(now, from, msg.Task))
 		}
 	case mesh.Report:
 		dmn.logReport(from, msg.Report)
-		dmn.deskDo(dmn.desk.Report(now, from, msg.Report))
+		dmn.runCoordinatorActions(dmn.coordinator.Report(now, from, msg.Report))
 	case mesh.Missed:
-		dmn.doubt(from, msg.Instance)
+		dmn.suspectPeer(from, msg.Instance)
 	case mesh.Configuration:
-		// It takes the lock itself.
+		// In the background, as it takes the lock that is held here.
 		dmn.group.Go(func() error {
-			dmn.takeConfiguration(msg.Data, string(from))
+			dmn.applyConfiguration(msg.Data, string(from))
 			return nil
 		})
 	}
 }
 
-// placeOrder gives an order to the leader of a shard, or says that it lies with none here.
+// placeOrder passes an order to the leader of its shard, or reports it lost if this instance doesn't lead the shard with that token.
 func (dmn *Daemon) placeOrder(now time.Time, tgt submission.Target, ord shard.Order) {
-	ldr := dmn.leader(tgt.Shard, tgt.Token)
+	ldr := dmn.leaderWithToken(tgt.Shard, tgt.Token)
 	if ldr == nil {
-		// Whoever leads the shard now may know of the task; the owner waits for it.
-		dmn.tell(now, ord.Owner, shard.Report{Task: ord.Task, Token: tgt.Token, Outcome: shard.Lost})
+		// The present leader of the shard may have the task; its owner waits until that is known.
+		dmn.sendReport(now, ord.Owner, shard.Report{Task: ord.Task, Token: tgt.Token, Outcome: shard.Lost})
 		return
 	}
-	dmn.noteOrder(ord.Owner)
-	dmn.shardDo(tgt.Shard, ldr.Place(now, ord))
+	dmn.noteOpenOrder(ord.Owner)
+	dmn.runLeaderActions(tgt.Shard, ldr.Place(now, ord))
 }
 
-// tell passes a report to the owner of an order.
-func (dmn *Daemon) tell(now time.Time, owner shard.InstanceID, rep shard.Report) {
+// sendReport passes a report to the owner of an order, which may be this instance.
+func (dmn *Daemon) sendReport(now time.Time, owner shard.InstanceID, rep shard.Report) {
 	if owner != dmn.self {
 		dmn.mesh.Send(owner, mesh.Report{Report: rep})
 		return
 	}
 	dmn.logReport(dmn.self, rep)
-	dmn.deskDo(dmn.desk.Report(now, dmn.self, rep))
+	dmn.runCoordinatorActions(dmn.coordinator.Report(now, dmn.self, rep))
 }
 
-// Late implements mesh.Handler.
+// Late implements mesh.Handler: it logs and counts a batch that was rejected because of its age.
 func (dmn *Daemon) Late(from shard.InstanceID, age time.Duration, messages int) {
 	dmn.cnt.lateBatches.Add(1)
 	dmn.log.Warn().Str("peer", string(from)).Dur("age", age).Int("messages", messages).Msg("batch comes too late")
 }
 
-// Lost implements mesh.Handler.
+// Lost implements mesh.Handler: it passes the loss of an instance to all decision types.
 func (dmn *Daemon) Lost(id shard.InstanceID, cau mesh.Cause) {
-	now := dmn.enter()
-	defer dmn.exit(now)
+	now := dmn.beginEvent()
+	defer dmn.endEvent(now)
 	dmn.log.Warn().Str("peer", string(id)).Str("cause", string(cau)).Msg("instance lost")
-	dmn.passOn(id, cau)
-	dmn.council.Lost(now, id, cau.Silence())
+	dmn.announceLoss(id, cau)
+	dmn.elector.Lost(now, id, cau.Silence())
 	for name, ldr := range dmn.leaders {
-		dmn.shardDo(name, ldr.OwnerLost(now, id))
+		dmn.runLeaderActions(name, ldr.OwnerLost(now, id))
 	}
-	dmn.deskDo(dmn.desk.InstanceLost(now, id))
+	dmn.runCoordinatorActions(dmn.coordinator.InstanceLost(now, id))
 	dmn.updateLeaders()
 	dmn.updatePaces()
 }
 
-// passOn tells the own failure domain that one of its instances has fallen silent: not all of them watch it, and whoever is to take
-// its shards over may not.
-func (dmn *Daemon) passOn(lost shard.InstanceID, cau mesh.Cause) {
-	ins := dmn.council.Others()[lost]
+// announceLoss tells the instances of the own failure domain that one of theirs is silent: not all of them watch it, perhaps not the one
+// that is to take over its shards.
+func (dmn *Daemon) announceLoss(lost shard.InstanceID, cau mesh.Cause) {
+	ins := dmn.elector.Others()[lost]
 	if ins == nil || ins.Domain != dmn.prm.Settings.FailureDomain || !cau.Silence() || cau == mesh.Doubted {
-		return // It was seen to end, or the others were told by whoever missed it first.
+		return // Its end was seen, or the instance that missed it first has told the others.
 	}
-	for id, oth := range dmn.council.Others() {
+	for id, oth := range dmn.elector.Others() {
 		if id != lost && oth.Domain == ins.Domain {
 			dmn.mesh.Send(id, mesh.Missed{Instance: lost})
 		}
 	}
 }
 
-// doubt asks an instance at once that another one has missed.
-func (dmn *Daemon) doubt(from, missed shard.InstanceID) {
-	if missed == dmn.self || dmn.council.Others()[missed] == nil {
+// suspectPeer checks at once an instance that another one has missed.
+func (dmn *Daemon) suspectPeer(from, missed shard.InstanceID) {
+	if missed == dmn.self || dmn.elector.Others()[missed] == nil {
 		return
 	}
 	dmn.log.Info().Str("peer", string(missed)).Str("from", string(from)).Msg("instance missed by another")
--- a/internal/process/daemon/idle_test.go
+++ b/internal/process/daemon/idle_test.go
@@ -90,7 +90,7 @@
 		sum.calls += float64(sts.Calls)
 		sum.peerBytes += float64(sts.BytesIn + sts.BytesOut)
 		sum.storeBytes += float64(prc.dmn.cnt.traffic.store.Stats().BytesIn)
-		sum.looks += float64(prc.dmn.cnt.looks.Load())
+		sum.looks += float64(prc.dmn.cnt.renewals.Load())
 	}
 	var mem runtime.MemStats
 	runtime.GC()
--- a/internal/process/daemon/list.go
+++ b/internal/process/daemon/list.go
@@ -11,60 +11,61 @@
 	"chestnutstack/platform"
 )
 
-// listPause is the pause between two reads of the list: a server that is leaving may get tasks for 2 s.
-const listPause = 400 * time.Millisecond
+// listReadPause is the pause between two reads of the list: a server may get tasks for at most 2 s after it is marked as leaving.
+const listReadPause = 400 * time.Millisecond
 
-// followServers reads the list of backend servers, whenever no other instance is known to read it, until ctx ends. It reads by the
-// clock, as every server's heartbeat is a record and a waiting read would return for each of them.
-func (dmn *Daemon) followServers(ctx context.Context) error {
+// followServerList reads the list of backend servers until ctx ends, whenever no other instance is known to read it. It polls, as each
+// server's heartbeat is a record and a waiting read would return for each of them.
+func (dmn *Daemon) followServerList(ctx context.Context) error {
 	sto := storeState{topic: platform.ServersTopic}
 	asked := false
 	for ctx.Err() == nil {
-		if dmn.serversDue() || asked {
-			err := dmn.readServers(ctx)
+		if dmn.listReadDue() || asked {
+			err := dmn.readServerList(ctx)
 			if ctx.Err() != nil {
 				return nil
 			}
-			dmn.noteStore(&sto, err)
+			dmn.logStoreState(&sto, err)
 			switch {
 			case errors.Is(err, platform.ErrCompacted):
 				continue
 			case err != nil:
-				pause(ctx, storePause)
+				sleepContext(ctx, storeRetryPause)
 				continue
 			}
 			dmn.publishDigests(ctx)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(listPause):
+		case <-time.After(listReadPause):
 			asked = false
-		case <-dmn.serversWanted:
+		case <-dmn.listReadRequested:
 			asked = true
 		}
 	}
 	return nil
 }
 
-// readersBefore returns how many instances are to read the list rather than this one.
-func (dmn *Daemon) readersBefore() int {
-	if dmn.council == nil {
+// readerRank returns how many instances are to read the list rather than this one.
+func (dmn *Daemon) readerRank() int {
+	if dmn.elector == nil {
 		return math.MaxInt32
 	}
-	return dmn.council.Rank(readersDuty)
+	return dmn.elector.Rank(readerDuty)
 }
 
-// readersDuty ranks the instances for reading the list.
-const readersDuty = "servers"
+// readerDuty is the name by which the elector ranks the instances for reading the list.
+const readerDuty = "servers"
 
-func (dmn *Daemon) serversDue() bool {
-	now := dmn.enter()
-	defer dmn.exit(now)
-	return dmn.follower.ReadDue(now, dmn.readersBefore())
+// listReadDue reports whether this instance has to read the list now.
+func (dmn *Daemon) listReadDue() bool {
+	now := dmn.beginEvent()
+	defer dmn.endEvent(now)
+	return dmn.follower.ReadDue(now, dmn.readerRank())
 }
 
-// readServers reads the list from where its knowledge ends, or all of it.
-func (dmn *Daemon) readServers(ctx context.Context) error {
+// readServerList reads the list from the offset that is known here, or in full if none is. After compaction the next read is a full one.
+func (dmn *Daemon) readServerList(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	dmn.mu.Lock()
@@ -76,13 +77,13 @@
 	if from < 0 {
 		recs, next, err := dmn.prm.Store.Newest(ctx, platform.ServersTopic)
 		if err == nil {
-			dmn.takeAllServers(began, recs, next)
+			dmn.applyFullListing(began, recs, next)
 		}
 		return err
 	}
 	recs, next, err := dmn.prm.Store.Read(ctx, platform.ServersTopic, from, 0)
 	if err == nil {
-		dmn.takeServers(began, recs, from, next)
+		dmn.applyListChanges(began, recs, from, next)
 	}
 	if errors.Is(err, platform.ErrCompacted) {
 		dmn.mu.Lock()
@@ -92,50 +93,51 @@
 	return err
 }
 
-// takeAllServers takes in a full read of the list.
-func (dmn *Daemon) takeAllServers(began time.Time, recs []platform.Record, next int64) {
-	now := dmn.enter()
-	defer dmn.exit(now)
+// applyFullListing replaces the known list by a full read that began at a time; entries that the read doesn't have are removed.
+func (dmn *Daemon) applyFullListing(began time.Time, recs []platform.Record, next int64) {
+	now := dmn.beginEvent()
+	defer dmn.endEvent(now)
 	dmn.listReadAt = began
 	dmn.census.ReadAll(now, next)
 	dmn.follower.ReadAll(next)
-	dmn.dropUnlisted(now, recs)
+	dmn.removeUnlisted(now, recs)
 	for _, rec := range recs {
-		dmn.takeServer(now, rec)
+		dmn.applyServerRecord(now, rec)
 	}
-	dmn.listChanges = listed{}
+	dmn.unloggedChanges = serverChanges{}
 	dmn.log.Info().Int("servers", len(dmn.entries)).Int64("offset", next).Msg("backend servers read")
-	dmn.redivide(now)
+	dmn.updateShards(now)
 }
 
-// takeServers takes in the records of the list from one offset to another.
-func (dmn *Daemon) takeServers(began time.Time, recs []platform.Record, from, next int64) {
-	now := dmn.enter()
-	defer dmn.exit(now)
+// applyListChanges applies the records from one offset of the list to another, read from a time on, and keeps changes for the next digest.
+// Records that are known from a digest are skipped.
+func (dmn *Daemon) applyListChanges(began time.Time, recs []platform.Record, from, next int64) {
+	now := dmn.beginEvent()
+	defer dmn.endEvent(now)
 	dmn.listReadAt = began
 	dmn.census.Read(now)
 	known := dmn.follower.Read(from, next)
 	changed := false
 	for num, rec := range recs {
-		if num < known || !dmn.takeServer(now, rec) {
+		if num < known || !dmn.applyServerRecord(now, rec) {
 			continue
 		}
 		changed = true
 		dmn.follower.Changed(serverlist.Change{Offset: from + int64(num), Key: rec.Key, Value: rec.Value})
 	}
-	dmn.logListed(fromStore)
-	if changed || dmn.anyListShort() {
-		dmn.redivide(now)
+	dmn.logServerChanges(fromStore)
+	if changed || dmn.anyListingIncomplete() {
+		dmn.updateShards(now)
 	}
 }
 
-// serverDigests waits for what another instance has read of the list.
-func (dmn *Daemon) serverDigests() topicReader {
-	return topicReader{topic: platform.ServerDigestsTopic, wait: time.Second, take: dmn.takeDigests}
+// serverDigests is the subscription to digests: the changes of the list that another instance has read.
+func (dmn *Daemon) serverDigests() topicSubscription {
+	return topicSubscription{topic: platform.ServerDigestsTopic, wait: time.Second, handle: dmn.handleDigests}
 }
 
-// takeDigests takes in records of the digests of the list.
-func (dmn *Daemon) takeDigests(bat batch) {
+// handleDigests decodes digests and applies them; it logs and counts those that are invalid.
+func (dmn *Daemon) handleDigests(bat batch) {
 	for _, rec := range bat.recs {
 		dig, err := platform.DecodeDigest(rec.Value)
 		if err != nil {
@@ -143,41 +145,42 @@
 			dmn.log.Error().Err(err).Msg("digest of the list of servers is refused")
 			continue
 		}
-		dmn.takeDigest(dig)
+		dmn.handleDigest(dig)
 	}
 }
 
-func (dmn *Daemon) takeDigest(dig *serverlist.Digest) {
-	now := dmn.enter()
-	defer dmn.exit(now)
+// handleDigest applies a digest if it continues the known list. If one before it is missing, the list is read at once.
+func (dmn *Daemon) handleDigest(dig *serverlist.Digest) {
+	now := dmn.beginEvent()
+	defer dmn.endEvent(now)
 	known := dmn.follower.Next()
 	if known < 0 {
-		return // The list is about to be read in full.
+		return // This instance hasn't read the list yet, and the next read is a full one.
 	}
 	chgs, follows := dmn.follower.Take(now, dig)
 	if !follows {
 		dmn.log.Info().Str("by", dig.By).Int64("from", dig.From).Int64("known", known).Msg("digest of the list of servers is missing")
-		dmn.wantServers()
+		dmn.requestListRead()
 		return
 	}
 	changed := false
 	for _, chg := range chgs {
-		changed = dmn.takeServer(now, platform.Record{Key: chg.Key, Value: chg.Value}) || changed
+		changed = dmn.applyServerRecord(now, platform.Record{Key: chg.Key, Value: chg.Value}) || changed
 	}
-	dmn.logListed(dig.By)
+	dmn.logServerChanges(dig.By)
 	if changed {
-		dmn.redivide(now)
+		dmn.updateShards(now)
 	}
 }
 
-// publishDigests writes what was read for the other instances, if it is this one's turn.
+// publishDigests writes the changes that this instance has read to the store for the others, if it is the reader.
 func (dmn *Daemon) publishDigests(ctx context.Context) {
-	now := dmn.enter()
-	digs := dmn.follower.Publish(now, dmn.readersBefore())
-	dmn.exit(now)
+	now := dmn.beginEvent()
+	digs := dmn.follower.Publish(now, dmn.readerRank())
+	dmn.endEvent(now)
 	for idx := range digs {
 		if err := dmn.publishDigest(ctx, &digs[idx]); err != nil {
-			dmn.log.Warn().Err(err).Msg("digest of the list of servers is not written; trying again with the next read")
+			dmn.log.Warn().Err(err).Msg("digest of the list of servers was not written; retrying after the next read")
 			return
 		}
 		dmn.mu.Lock()
@@ -186,6 +189,7 @@
 	}
 }
 
+// publishDigest appends a digest to the store.
 func (dmn *Daemon) publishDigest(ctx context.Context, dig *serverlist.Digest) error {
 	data, err := platform.EncodeDigest(dig)
 	if err != nil {
@@ -198,10 +202,10 @@
 	return err
 }
 
-// wantServers has the list read at once.
-func (dmn *Daemon) wantServers() {
+// requestListRead has followServerList read the list at once. It doesn't block.
+func (dmn *Daemon) requestListRead() {
 	select {
-	case dmn.serversWanted <- struct{}{}:
+	case dmn.listReadRequested <- struct{}{}:
 	default:
 	}
 }
--- a/internal/process/daemon/list_story_test.go
+++ b/internal/process/daemon/list_story_test.go
@@ -16,7 +16,7 @@
 func (wld *world) reader() string {
 	for name, prc := range wld.entries {
 		prc.dmn.mu.Lock()
-		first := prc.dmn.council != nil && prc.dmn.readersBefore() == 0
+		first := prc.dmn.elector != nil && prc.dmn.readerRank() == 0
 		prc.dmn.mu.Unlock()
 		if first {
 			return name
@@ -116,8 +116,8 @@
 				continue
 			}
 			prc.dmn.mu.Lock()
-			chk.True(!prc.dmn.council.Vacant("domain-1"))
-			for id := range prc.dmn.council.Others() {
+			chk.True(!prc.dmn.elector.Vacant("domain-1"))
+			for id := range prc.dmn.elector.Others() {
 				chk.True(id != wld.entries[led].dmn.self)
 			}
 			prc.dmn.mu.Unlock()
--- a/internal/process/daemon/main.go
+++ b/internal/process/daemon/main.go
@@ -19,33 +19,33 @@
 	"chestnutstack/platform"
 )
 
-// flags is the command line of the daemon.
+// flags are the command-line flags of the daemon.
 type flags struct {
 	Settings string `help:"The platform's settings file; the environment names it if this is empty." type:"existingfile"`
 	LogLevel string `help:"debug, info, warn or error." default:"info" enum:"debug,info,warn,error"`
 }
 
 const (
-	// logBytes is how much may wait for a slow reader before further lines are dropped and counted: some two seconds
-	// of a busy entry instance.
-	logBytes = 2 << 20
-	// timeFormat tells decisions apart that lie milliseconds apart on different machines.
+	// maxLogBuffer is the size, in bytes, of the log lines that may wait for a slow reader before further ones are dropped and
+	// counted: some 2 s of a busy instance.
+	maxLogBuffer = 2 << 20
+	// timeFormat has milliseconds, to order decisions that different machines took shortly after each other.
 	timeFormat = "2006-01-02T15:04:05.000Z07:00"
-	// logInterval is how long a line waits to be written with others.
-	logInterval = 50 * time.Millisecond
-	// collectAt lets the heap grow to five times its live size between collections: the live heap is some
-	// 10 MB of the smallest machine's 184, and collections cost latency on a fifth of a core.
-	collectAt = 400
-	// memoryShare is how much of the machine's memory the runtime aims to stay under.
+	// logFlushInterval is how long log lines are gathered before they are written.
+	logFlushInterval = 50 * time.Millisecond
+	// gcPercent is GOGC: the heap grows to five times its live size between collections. The live heap is some 10 MB of the smallest
+	// machine's 184, and collections cost latency on a fifth of a core.
+	gcPercent = 400
+	// memoryShare is the soft memory limit of the runtime as a share of the machine's memory.
 	memoryShare = 0.7
-	// dialTimeout bounds the opening of any connection; a way that is cut off does not answer.
+	// dialTimeout is the timeout for opening any connection; an unreachable host doesn't answer at all.
 	dialTimeout = 300 * time.Millisecond
-	// connsPerServer stays well below the 64 that a backend server takes from all instances together.
-	connsPerServer = 12
-	idleConn       = 20 * time.Second
+	// connsPerServer is well below the 64 connections that a backend server accepts from all instances together.
+	connsPerServer  = 12
+	idleConnTimeout = 20 * time.Second
 )
 
-// Main runs a daemon as its settings file says until ctx ends.
+// Main runs a daemon with the settings file and flags of its command line until ctx ends; it writes the log to out.
 func Main(ctx context.Context, args []string, out io.Writer) error {
 	var flg flags
 	psr, err := kong.New(&flg, kong.Name("chestnutstackd"),
@@ -68,7 +68,7 @@
 		return errors.Wrap(err, "log level")
 	}
 	zerolog.TimeFieldFormat = timeFormat
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(float64(set.MemoryBytes) * memoryShare))
 	cnt := &counters{}
 	wrt := newLineWriter(out, func() { cnt.logsDropped.Add(1) })
@@ -80,7 +80,7 @@
 	}()
 	grp.Go(func() error { return wrt.run(logCtx) })
 	lgr := zerolog.New(wrt).Level(lvl).With().Timestamp().Str("instance", set.Instance).Logger()
-	lis, err := listen(set)
+	lis, err := openListeners(set)
 	if err != nil {
 		return err
 	}
@@ -97,17 +97,19 @@
 	return dmn.Run(ctx, lis)
 }
 
+// newClient returns an HTTP client whose connections count their bytes in cnt; 0 connections per host means no limit.
 func newClient(connsPerHost int, cnt *rpc.Counters) *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext:         counted((&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext, cnt),
+		DialContext:         countedDial((&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext, cnt),
 		MaxConnsPerHost:     connsPerHost,
 		MaxIdleConnsPerHost: connsPerServer,
-		IdleConnTimeout:     idleConn,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}}
 }
 
-func listen(set platform.Settings) (Listeners, error) {
+// openListeners opens the listening sockets at the addresses in the settings.
+func openListeners(set platform.Settings) (Listeners, error) {
 	var lis Listeners
 	for adr, tgt := range map[string]*net.Listener{
 		set.CallerAddress: &lis.Callers, set.ReadyAddress: &lis.Ready,
@@ -122,57 +124,59 @@
 	return lis, nil
 }
 
-// lineWriter gathers log lines and writes them in the background: a system call for each line would cost more than
-// the line, and a reader that is slow or gone must hold nothing up.
+// lineWriter gathers log lines and writes them in the background: a system call per line would cost more than the line itself, and a
+// slow or closed reader must not block the process.
 type lineWriter struct {
 	out     io.Writer
 	dropped func()
-	// filled is told when there is something to write.
-	filled chan struct{}
-	mu     sync.Mutex
-	buf    []byte
+	// wake gets a value when lines are waiting.
+	wake chan struct{}
+	mu   sync.Mutex
+	buf  []byte
 }
 
 func newLineWriter(out io.Writer, dropped func()) *lineWriter {
-	return &lineWriter{out: out, dropped: dropped, filled: make(chan struct{}, 1)}
+	return &lineWriter{out: out, dropped: dropped, wake: make(chan struct{}, 1)}
 }
 
-// Write implements io.Writer; it never waits. A line that finds the buffer full is dropped and counted.
+// Write implements io.Writer. It never blocks; a line for which the buffer has no space is dropped and counted.
 func (lwr *lineWriter) Write(line []byte) (int, error) {
 	lwr.mu.Lock()
 	defer lwr.mu.Unlock()
-	if len(lwr.buf)+len(line) > logBytes {
+	if len(lwr.buf)+len(line) > maxLogBuffer {
 		lwr.dropped()
 		return len(line), nil
 	}
 	lwr.buf = append(lwr.buf, line...)
 	select {
-	case lwr.filled <- struct{}{}:
+	case lwr.wake <- struct{}{}:
 	default:
 	}
 	return len(line), nil
 }
 
+// flush writes the gathered lines.
 func (lwr *lineWriter) flush() {
 	lwr.mu.Lock()
 	data := lwr.buf
 	lwr.buf = nil
 	lwr.mu.Unlock()
 	if len(data) > 0 {
-		_, _ = lwr.out.Write(data) // There is nowhere to report that the log can't be written.
+		_, _ = lwr.out.Write(data) // A failed write of the log can't be logged.
 	}
 }
 
-// run writes what has gathered some time after the first line, until ctx ends, and once more then. Without lines it sleeps.
+// run writes the gathered lines logFlushInterval after the first of them, until ctx ends, and once more then. It has no timer while there
+// are no lines.
 func (lwr *lineWriter) run(ctx context.Context) error {
 	defer lwr.flush()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-lwr.filled:
+		case <-lwr.wake:
 		}
-		if !pause(ctx, logInterval) {
+		if !sleepContext(ctx, logFlushInterval) {
 			return nil
 		}
 		lwr.flush()
--- a/internal/process/daemon/pace.go
+++ b/internal/process/daemon/pace.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// leaderPace is the pause in beats between two instances that don't depend on each other, in a small system. In a larger
-	// one it grows with their number, so that an instance makes no more calls: nearShare and farShare are how many instances
-	// of its own failure domain and of others it talks to in the time of a beat.
-	leaderPace = 3
-	nearShare  = 2
-	farShare   = 2
-	// strangerPace is the pause where neither leads anything.
-	strangerPace = 10
+	// minPace is the pause, in heartbeat intervals, between two instances that don't depend on each other, in a small system. In a larger
+	// one the pause grows with the number of instances, so that each one's number of calls doesn't: in one interval it calls about
+	// nearPeersPerBeat instances of its own failure domain and farPeersPerBeat of others.
+	minPace          = 3
+	nearPeersPerBeat = 2
+	farPeersPerBeat  = 2
+	// idlePace is the pause, in heartbeat intervals, between two instances of which neither leads a shard.
+	idlePace = 10
 )
 
-// updatePaces tells the mesh how often to talk to each instance: at each beat with those on which a lease depends, or a take-over.
+// updatePaces sets how often this instance sends heartbeats to each other one: at every interval if a lease or a takeover depends on it.
 func (dmn *Daemon) updatePaces() {
-	others := dmn.council.Others()
+	others := dmn.elector.Others()
 	own := dmn.prm.Settings.FailureDomain
-	vacant := dmn.council.Vacant(own)
-	watched := dmn.council.Neighbours()
-	near := dmn.council.Near()
-	nearPace := max(leaderPace, near/nearShare)
-	farPace := max(leaderPace, (len(others)-near)/farShare)
+	vacant := dmn.elector.Vacant(own)
+	watched := dmn.elector.Neighbours()
+	near := dmn.elector.Near()
+	nearPace := max(minPace, near/nearPeersPerBeat)
+	farPace := max(minPace, (len(others)-near)/farPeersPerBeat)
 	paces := make(map[shard.InstanceID]mesh.Pace, len(others))
 	for id, ins := range others {
 		pace := farPace
@@ -32,20 +32,20 @@
 			pace = nearPace
 		}
 		switch {
-		case dmn.openWith[id], watched[id], vacant && ins.Domain == own:
+		case dmn.openOrdersWith[id], watched[id], vacant && ins.Domain == own:
 			pace = 1
-		case !dmn.council.Leads() && len(ins.Leads) == 0:
-			pace = max(pace, strangerPace)
+		case !dmn.elector.Leads() && len(ins.Leads) == 0:
+			pace = max(pace, idlePace)
 		}
-		paces[id] = mesh.Pace{Intervals: pace, OpenOrders: dmn.openWith[id]}
+		paces[id] = mesh.Pace{Intervals: pace, OpenOrders: dmn.openOrdersWith[id]}
 	}
 	dmn.mesh.SetPaces(paces)
 }
 
-// nudgeNear tells the own failure domain at once what is new here and concerns who is to lead its shards.
-func (dmn *Daemon) nudgeNear() {
+// nudgeDomain sends a heartbeat at once to the instances of the own failure domain, after a change that matters for who leads its shards.
+func (dmn *Daemon) nudgeDomain() {
 	dmn.mesh.NudgeIf(func(id shard.InstanceID) bool {
-		ins := dmn.council.Others()[id]
+		ins := dmn.elector.Others()[id]
 		return ins != nil && ins.Domain == dmn.prm.Settings.FailureDomain
 	})
 }
--- a/internal/process/daemon/reach.go
+++ b/internal/process/daemon/reach.go
@@ -9,38 +9,39 @@
 	"chestnutstack/platform"
 )
 
-// lowestToken is below every leader's: a server refuses it, which shows that it is there, and goes on
-// obeying its leader.
-const lowestToken = 1
+// probeToken is lower than every leader's token: a server rejects it, which shows that it answers, and goes on obeying its leader.
+const probeToken = 1
 
-// reachable reports whether the servers of a shard in another failure domain answer; it asks one of them if that is not known.
+// reachable reports whether the servers of a shard in another failure domain have answered for long enough to take the shard over. If
+// that isn't known, it starts a probe of one of them when the next one is due.
 func (dmn *Daemon) reachable(now time.Time, shd succession.Shard) bool {
-	rch := dmn.reaches[shd.Name]
+	rch := dmn.reachability[shd.Name]
 	if rch == nil {
 		rch = &succession.Reach{}
-		dmn.reaches[shd.Name] = rch
+		dmn.reachability[shd.Name] = rch
 	}
 	if rch.Holds(now) {
-		delete(dmn.reaches, shd.Name)
+		delete(dmn.reachability, shd.Name)
 		return true
 	}
-	if ents := dmn.divided[shd]; len(ents) > 0 && rch.Ask(now) {
-		// Another server is asked each time: the first may be the one that is down.
-		dmn.asked++
-		ent := ents[dmn.asked%len(ents)]
-		dmn.group.Go(func() error { return dmn.askReach(shd.Name, ent) })
+	if ents := dmn.serversByShard[shd]; len(ents) > 0 && rch.Ask(now) {
+		// Each probe goes to another server, as a single one may be down.
+		dmn.probes++
+		ent := ents[dmn.probes%len(ents)]
+		dmn.group.Go(func() error { return dmn.probeShard(shd.Name, ent) })
 	}
 	return false
 }
 
-func (dmn *Daemon) askReach(name shard.Name, ent shard.ServerEntry) error {
+// probeShard calls a backend server of a shard and records whether it answers.
+func (dmn *Daemon) probeShard(name shard.Name, ent shard.ServerEntry) error {
 	ctx, cancel := context.WithTimeout(dmn.ctx, succession.ReachTimeout)
 	defer cancel()
 	asked := dmn.now()
-	_, vdt, err := dmn.prm.Servers.Hold(ctx, platform.Server{ID: ent.ID, Address: ent.Address}, lowestToken, 0, 0, 0)
-	now := dmn.enter()
-	defer dmn.exit(now)
-	rch := dmn.reaches[name]
+	_, vdt, err := dmn.prm.Servers.Hold(ctx, platform.Server{ID: ent.ID, Address: ent.Address}, probeToken, 0, 0, 0)
+	now := dmn.beginEvent()
+	defer dmn.endEvent(now)
+	rch := dmn.reachability[name]
 	if rch == nil {
 		return nil
 	}
@@ -52,7 +53,7 @@
 	}
 	if rch.Answered(now, asked) {
 		lin.Stringer("verdict", vdt).Msg("shard of another failure domain has no leader and is in reach")
-		// Its instances are called at once: if they lead it, they are heard before the shard is taken over.
+		// Calls the domain's unheard instances at once: if one leads the shard, it is heard before the shard is taken over.
 		dmn.mesh.NudgeIf(func(shard.InstanceID) bool { return false })
 	}
 	return nil
--- a/internal/process/daemon/reach_story_test.go
+++ b/internal/process/daemon/reach_story_test.go
@@ -60,9 +60,9 @@
 	wld.cut("domain-2")
 	time.Sleep(time.Second)
 	dmn := wld.entries["entry-1-1"].dmn
-	now := dmn.enter()
+	now := dmn.beginEvent()
 	dmn.takeOver(now, "domain-2.0")
-	dmn.exit(now)
+	dmn.endEvent(now)
 	time.Sleep(3 * time.Second)
 	snt := wld.sendAsync(wld.ctx, "entry-2-1", jobSpec{id: jobID(1), tasks: 4, payload: payload{Millis: 2000}})
 	time.Sleep(end)
--- a/internal/process/daemon/reload.go
+++ b/internal/process/daemon/reload.go
@@ -8,14 +8,13 @@
 	"chestnutstack/platform"
 )
 
-// reloadInterval is how often the settings file is looked at: it may change without a signal.
+// reloadInterval is how often the settings file is read: it may change without a signal.
 const reloadInterval = 5 * time.Second
 
-// watchSettings reads the settings file again on SIGHUP and by the clock, until ctx ends.
+// watchSettings rereads the settings file on SIGHUP and every reloadInterval until ctx ends.
 //
-// Addresses and limits belong to the sockets and the runtime of a process from its start on; what may
-// change while it runs is the time to the kill. Everything else that changed is logged and takes effect
-// with the next start.
+// Only the stop timeout can change while the process runs: addresses and limits are applied to sockets and the runtime at the start.
+// Other changes are logged and take effect with the next start.
 func (dmn *Daemon) watchSettings(ctx context.Context, path string) error {
 	tck := time.NewTicker(reloadInterval)
 	defer tck.Stop()
@@ -30,13 +29,14 @@
 		}
 		set, err := platform.ReadSettings(path)
 		if err != nil {
-			dmn.log.Error().Err(err).Str("cause", cause).Msg("settings are unreadable; the old ones stay")
+			dmn.log.Error().Err(err).Str("cause", cause).Msg("settings are unreadable; keeping the old ones")
 			continue
 		}
 		dmn.reload(set, cause)
 	}
 }
 
+// reload applies reread settings and logs them, unless nothing changed and no signal asked for it.
 func (dmn *Daemon) reload(set platform.Settings, cause string) {
 	dmn.mu.Lock()
 	defer dmn.mu.Unlock()
--- a/internal/process/daemon/servers.go
+++ b/internal/process/daemon/servers.go
@@ -9,41 +9,41 @@
 	"chestnutstack/platform"
 )
 
-// missingServer is a server whose entry went away.
+// missingServer is a backend server whose entry went away at a time, though it wasn't marked as leaving.
 type missingServer struct {
 	ent   shard.ServerEntry
 	since time.Time
 }
 
 const (
-	// entriesReturn is how long after the store's return the entries of servers that live are back (2 s, the platform's
-	// pages), and a read of the list.
-	entriesReturn = 2500 * time.Millisecond
-	// missingFor is how long a server without an entry may still be led by somebody: longer than the longest outage seen
-	// on the platform's days (11.5 s).
-	missingFor = 30 * time.Second
+	// entriesReturnTime is the time after which, once the store is back, the entries of live servers are back too (2 s, the platform's
+	// documentation) and were read.
+	entriesReturnTime = 2500 * time.Millisecond
+	// missingTimeout is how long a server without an entry may still be led by some instance: longer than the longest known outage of
+	// the store, 11.5 s.
+	missingTimeout = 30 * time.Second
 )
 
-// listed has what one read or digest of the list has changed.
-type listed struct{ came, went []string }
+// serverChanges has the names of the servers whose entries one read or digest of the list has added or changed, and removed.
+type serverChanges struct{ updated, removed []string }
 
-// logListed tells what has changed since the last time: one line, whose names are bounded.
-func (dmn *Daemon) logListed(from string) {
-	lst := dmn.listChanges
-	dmn.listChanges = listed{}
-	if len(lst.came)+len(lst.went) == 0 {
+// logServerChanges logs the changes of the list since its last call in one line, with at most maxLoggedNames names each.
+func (dmn *Daemon) logServerChanges(from string) {
+	lst := dmn.unloggedChanges
+	dmn.unloggedChanges = serverChanges{}
+	if len(lst.updated)+len(lst.removed) == 0 {
 		return
 	}
-	dmn.log.Info().Str("from", from).Int("listed", len(lst.came)).Int("gone", len(lst.went)).
-		Strs("listed-servers", lst.came[:min(len(lst.came), mostNames)]).
-		Strs("gone-servers", lst.went[:min(len(lst.went), mostNames)]).Msg("backend servers changed")
+	dmn.log.Info().Str("from", from).Int("listed", len(lst.updated)).Int("gone", len(lst.removed)).
+		Strs("listed-servers", lst.updated[:min(len(lst.updated), maxLoggedNames)]).
+		Strs("gone-servers", lst.removed[:min(len(lst.removed), maxLoggedNames)]).Msg("backend servers changed")
 }
 
-// mostNames bounds the names in a line of the log.
-const mostNames = 20
+// maxLoggedNames limits the names in a log line.
+const maxLoggedNames = 20
 
-// anyListShort reports whether a leader waits for a read that began after its take-over.
-func (dmn *Daemon) anyListShort() bool {
+// anyListingIncomplete reports whether a leader still waits for a read of the list that began after its takeover.
+func (dmn *Daemon) anyListingIncomplete() bool {
 	for _, ldr := range dmn.leaders {
 		if !ldr.Whole() {
 			return true
@@ -52,21 +52,21 @@
 	return false
 }
 
-// dropUnlisted removes what a full list does not have.
-func (dmn *Daemon) dropUnlisted(now time.Time, recs []platform.Record) {
+// removeUnlisted removes the entries that a full read of the list doesn't have.
+func (dmn *Daemon) removeUnlisted(now time.Time, recs []platform.Record) {
 	listed := make(map[shard.ServerID]bool, len(recs))
 	for _, rec := range recs {
 		listed[shard.ServerID(rec.Key)] = rec.Value != nil
 	}
 	for id := range dmn.entries {
 		if !listed[id] {
-			dmn.dropServer(now, id)
+			dmn.removeServer(now, id)
 		}
 	}
 }
 
-// dropServer removes an entry. A server that was not leaving may be fine.
-func (dmn *Daemon) dropServer(now time.Time, id shard.ServerID) {
+// removeServer removes an entry. A server that wasn't marked as leaving may still work, so it is kept as missing.
+func (dmn *Daemon) removeServer(now time.Time, id shard.ServerID) {
 	old, known := dmn.entries[id]
 	if !known {
 		return
@@ -76,25 +76,25 @@
 		old.Leaving = true // It gets no new task.
 		dmn.missing[id] = missingServer{ent: old, since: now}
 		maps.DeleteFunc(dmn.missing, func(_ shard.ServerID, mis missingServer) bool {
-			return now.Sub(mis.since) > missingFor
+			return now.Sub(mis.since) > missingTimeout
 		})
 	}
-	dmn.listChanges.went = append(dmn.listChanges.went, string(id))
+	dmn.unloggedChanges.removed = append(dmn.unloggedChanges.removed, string(id))
 }
 
-// takeServer takes in one record and reports whether it changes anything.
-func (dmn *Daemon) takeServer(now time.Time, rec platform.Record) bool {
+// applyServerRecord applies one record of the list and reports whether it changes anything.
+func (dmn *Daemon) applyServerRecord(now time.Time, rec platform.Record) bool {
 	id := shard.ServerID(rec.Key)
 	old, known := dmn.entries[id]
 	if rec.Value == nil {
-		dmn.dropServer(now, id)
+		dmn.removeServer(now, id)
 		return known
 	}
 	ent, err := platform.DecodeServer(rec)
 	if err != nil {
-		// Another writer's; the server that it names, if there is one, gets no new task until its entry can be read again.
-		dmn.log.Error().Err(err).Msg("entry of the list is unreadable")
-		dmn.dropServer(now, id)
+		// Another program may have written it. If a server has that key, it gets no new task until its entry is readable again.
+		dmn.log.Error().Err(err).Msg("entry of the list of backend servers is unreadable")
+		dmn.removeServer(now, id)
 		return known
 	}
 	dmn.entries[id] = ent
@@ -102,43 +102,44 @@
 	if known && old.Leaving == ent.Leaving && old.Address == ent.Address {
 		return false
 	}
-	dmn.listChanges.came = append(dmn.listChanges.came, rec.Key)
+	dmn.unloggedChanges.updated = append(dmn.unloggedChanges.updated, rec.Key)
 	return true
 }
 
-// listedTo returns up to which offset of the list all servers that may live are known, and have their entries; 0 if that can't be told.
-func (dmn *Daemon) listedTo(now time.Time) int64 {
+// completeListOffset returns the offset of the list up to which all servers that may live are known and have entries; 0 if unknown.
+func (dmn *Daemon) completeListOffset(now time.Time) int64 {
 	if !dmn.census.Whole(now) {
 		return 0
 	}
 	for _, mis := range dmn.missing {
-		if now.Sub(mis.since) <= missingFor {
+		if now.Sub(mis.since) <= missingTimeout {
 			return 0
 		}
 	}
 	return max(0, dmn.follower.Next())
 }
 
-// hearListed takes in up to which offset of the list another instance knows all servers that may live.
-func (dmn *Daemon) hearListed(now time.Time, from shard.InstanceID, to int64) {
+// handleCompleteOffset applies the offset up to which another instance knows all servers that may live. If that completes the own list,
+// and a leader waits for a complete one, the list is read at once.
+func (dmn *Daemon) handleCompleteOffset(now time.Time, from shard.InstanceID, to int64) {
 	if !dmn.census.Told(now, to) {
 		return
 	}
 	dmn.log.Info().Str("from", string(from)).Int64("offset", to).Msg("the list of backend servers is whole")
-	if dmn.anyListShort() {
-		dmn.wantServers() // Its leaders took their shards over after the last read, or without knowing.
+	if dmn.anyListingIncomplete() {
+		dmn.requestListRead() // Its leaders took over after the last read, or while the list was incomplete.
 	}
 }
 
-// listing returns what is known of the servers of a shard. After the first read the list may be short for a while: entries
-// that lapsed are not in it, and the store may just have come back. What goes from the list later is kept as missing.
-func (dmn *Daemon) listing(now time.Time, shd succession.Shard) shard.Listing {
-	lst := shard.Listing{Listed: dmn.divided[shd], All: dmn.entries}
+// shardListing returns the known servers of a shard for its leader. ReadAt is set only if the list is complete: after the first read it
+// may lack entries that expired, for instance as the store has just come back. Entries that go away later are kept as missing.
+func (dmn *Daemon) shardListing(now time.Time, shd succession.Shard) shard.Listing {
+	lst := shard.Listing{Listed: dmn.serversByShard[shd], All: dmn.entries}
 	if dmn.census.Whole(now) {
 		lst.ReadAt = dmn.listReadAt
 	}
 	for _, mis := range dmn.missing {
-		if now.Sub(mis.since) <= missingFor && dmn.divisions.ShardOf(mis.ent) == shd {
+		if now.Sub(mis.since) <= missingTimeout && dmn.divisions.ShardOf(mis.ent) == shd {
 			lst.Missing = append(lst.Missing, mis.ent)
 		}
 	}
--- a/internal/process/daemon/story_test.go
+++ b/internal/process/daemon/story_test.go
@@ -224,8 +224,8 @@
 	cfg := shard.DefaultConfig()
 	noticed := silentBeats*beatInterval + beatInterval/2 + mesh.ReadTime
 	over := noticed + cfg.StopPatience + cfg.Lapse()
-	chk.True(over < proof)
-	chk.True(over < leastResend)
+	chk.True(over < orphanExpiry)
+	chk.True(over < minResendAfter)
 	// An order that follows its shard to a new leader comes once its owner has missed the former one.
 	chk.True(over < silentBeats*beatInterval+cfg.Doubt)
 }
--- a/internal/process/daemon/traffic.go
+++ b/internal/process/daemon/traffic.go
@@ -9,22 +9,22 @@
 	"chestnutstack/internal/connection/rpc"
 )
 
-// traffic counts the bytes on each way of an instance.
+// traffic counts the bytes on an instance's connections to callers, backend servers and the store.
 type traffic struct{ callers, servers, store rpc.Counters }
 
-// way is one of them with its name in logs and metrics.
-type way struct {
+// trafficClass is the counter of one kind of connection, with its name in logs and metrics.
+type trafficClass struct {
 	name string
 	cnt  *rpc.Counters
 }
 
-// ways returns all but that to the peers, which the mesh counts.
-func (trf *traffic) ways() []way {
-	return []way{{"callers", &trf.callers}, {"servers", &trf.servers}, {"store", &trf.store}}
+// classes returns all kinds of connections but those to other instances, which the mesh counts.
+func (trf *traffic) classes() []trafficClass {
+	return []trafficClass{{"callers", &trf.callers}, {"servers", &trf.servers}, {"store", &trf.store}}
 }
 
-// counted returns a dial function whose connections count their bytes.
-func counted(dial mesh.DialFunc, cnt *rpc.Counters) mesh.DialFunc {
+// countedDial returns a dial function whose connections count their bytes in cnt.
+func countedDial(dial mesh.DialFunc, cnt *rpc.Counters) mesh.DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		con, err := dial(ctx, network, address)
 		if err != nil {
@@ -50,14 +50,14 @@
 	return rpc.Watch(con, lis.cnt, 0), nil
 }
 
-// trafficInterval is short enough to see a second of full links, and costs a line of 300 bytes.
+// trafficInterval is short enough to show a link that is full for 1 s; a log line has 300 bytes.
 const trafficInterval = time.Second
 
-// logTraffic tells each second what went over each way, so that it can be seen which of them fills the link. The calls are
-// connections opened to servers and to the store, and batches to peers.
+// logTraffic logs the bytes and calls of each kind of connection every second, to show which one fills the link. Calls are connections
+// opened to servers and to the store, and batches sent to other instances.
 func (dmn *Daemon) logTraffic(ctx context.Context) error {
 	last := map[string]rpc.Stats{}
-	for pause(ctx, trafficInterval) {
+	for sleepContext(ctx, trafficInterval) {
 		lin := dmn.log.Info()
 		tell := func(name string, now rpc.Stats) {
 			was := last[name]
@@ -65,7 +65,7 @@
 				Uint64(name+"-calls", now.Calls-was.Calls)
 			last[name] = now
 		}
-		for _, way := range dmn.cnt.traffic.ways() {
+		for _, way := range dmn.cnt.traffic.classes() {
 			tell(way.name, way.cnt.Stats())
 		}
 		tell("peers", dmn.mesh.Stats())
--- a/internal/process/daemon/world_test.go
+++ b/internal/process/daemon/world_test.go
@@ -235,7 +235,7 @@
 	wld.entries[name] = prc
 	cnt := &counters{}
 	client := func(way *rpc.Counters) *http.Client {
-		return &http.Client{Transport: &http.Transport{DialContext: counted(wld.net.Dialer(host), way)}}
+		return &http.Client{Transport: &http.Transport{DialContext: countedDial(wld.net.Dialer(host), way)}}
 	}
 	prc.dmn = New(Params{
 		Settings: platform.Settings{
