--- a/internal/process/daemon/carry.go
+++ b/internal/process/daemon/carry.go
@@ -26,7 +26,7 @@
 			}
 			dmn.localActions = append(dmn.localActions, func(now time.Time) { dmn.placeOrder(now, act.Target, act.Order) })
 		case submission.Withdraw:
-			dmn.withdrawOrder(act)
+			dmn.cancelOrder(act)
 		case submission.Reply:
 			dmn.replyToCaller(act)
 		case submission.Admit:
@@ -46,8 +46,8 @@
 		Bool("followed", act.Order.Followed).Msg("order")
 }
 
-// withdrawOrder has the leader of a shard cancel an order.
-func (dmn *Daemon) withdrawOrder(act submission.Withdraw) {
+// cancelOrder has the leader of a shard cancel an order.
+func (dmn *Daemon) cancelOrder(act submission.Withdraw) {
 	name := act.Target.Shard
 	dmn.log.Info().Str("task", act.Task).Str("shard", string(name)).Str("leader", string(act.Target.Leader)).Msg("withdraw")
 	if act.Target.Leader != dmn.self {
@@ -87,7 +87,7 @@
 // runLeaderActions executes actions that the leader of a shard returned; calls to backend servers run in the background. It resigns the
 // shard if a backend server has obeyed a newer token.
 func (dmn *Daemon) runLeaderActions(name shard.Name, acts []shard.Action) {
-	patience := dmn.uplink.Patience()
+	timeout := dmn.uplink.Patience()
 	for _, act := range acts {
 		switch act := act.(type) {
 		case shard.Tell:
@@ -96,11 +96,11 @@
 			dmn.log.Info().Str("server", string(act.Server)).Float64("measure", act.Measure).Dur("pause", act.Pause).
 				Msg(act.Reason)
 		case shard.StartRun:
-			dmn.group.Go(func() error { return dmn.startRun(name, act, patience) })
+			dmn.group.Go(func() error { return dmn.startRun(name, act, timeout) })
 		case shard.StopRun:
-			dmn.group.Go(func() error { return dmn.stopRun(name, act, patience) })
+			dmn.group.Go(func() error { return dmn.stopRun(name, act, timeout) })
 		case shard.Hold:
-			dmn.group.Go(func() error { return dmn.renew(name, act, act.Wait+patience) })
+			dmn.group.Go(func() error { return dmn.renew(name, act, act.Wait+timeout) })
 		}
 	}
 	if ldr := dmn.leaders[name]; ldr != nil && ldr.Lost() > 0 {
@@ -117,9 +117,9 @@
 	return nil
 }
 
-// startRun starts a run on a backend server and passes the answer to the leader that ordered it. patience is the timeout of the call.
-func (dmn *Daemon) startRun(name shard.Name, act shard.StartRun, patience time.Duration) error {
-	ctx, cancel := context.WithTimeout(dmn.ctx, patience)
+// startRun starts a run on a backend server, with a timeout for the answer, and passes the result to the leader that ordered it.
+func (dmn *Daemon) startRun(name shard.Name, act shard.StartRun, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(dmn.ctx, timeout)
 	defer cancel()
 	srv := platform.Server{ID: act.Server.ID, Address: act.Server.Address}
 	sent := dmn.now()
@@ -136,9 +136,9 @@
 	return nil
 }
 
-// stopRun stops a run on a backend server and passes the answer to the leader that ordered it.
-func (dmn *Daemon) stopRun(name shard.Name, act shard.StopRun, patience time.Duration) error {
-	ctx, cancel := context.WithTimeout(dmn.ctx, patience)
+// stopRun stops a run on a backend server, with a timeout for the answer, and passes the result to the leader that ordered it.
+func (dmn *Daemon) stopRun(name shard.Name, act shard.StopRun, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(dmn.ctx, timeout)
 	defer cancel()
 	srv := platform.Server{ID: act.Server.ID, Address: act.Server.Address}
 	vdt, err := dmn.prm.Servers.Stop(ctx, srv, act.Run, act.Token)
@@ -153,16 +153,16 @@
 	return nil
 }
 
-// renew extends the leases on a backend server, after the action's pause, and passes its list of runs to the leader.
-func (dmn *Daemon) renew(name shard.Name, act shard.Hold, patience time.Duration) error {
+// renew waits for the action's pause, extends the leases on a backend server and passes the server's list of runs to the leader.
+func (dmn *Daemon) renew(name shard.Name, act shard.Hold, timeout time.Duration) error {
 	if act.Pause > 0 && !sleepContext(dmn.ctx, act.Pause) {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(dmn.ctx, patience)
+	ctx, cancel := context.WithTimeout(dmn.ctx, timeout)
 	defer cancel()
 	srv := platform.Server{ID: act.Server.ID, Address: act.Server.Address}
 	sent := dmn.now()
-	look, vdt, err := dmn.prm.Servers.Hold(ctx, srv, act.Token, act.Seen, act.Until, act.Wait)
+	res, vdt, err := dmn.prm.Servers.Hold(ctx, srv, act.Token, act.Seen, act.Until, act.Wait)
 	now := dmn.beginEvent()
 	defer dmn.endEvent(now)
 	dmn.cnt.renewals.Add(1)
@@ -170,7 +170,7 @@
 		dmn.log.Warn().Err(err).Str("server", string(act.Server.ID)).Stringer("verdict", vdt).Msg("look failed")
 	}
 	if ldr := dmn.leaderWithToken(name, act.Token); ldr != nil {
-		dmn.runLeaderActions(name, ldr.Looked(now, sent, act, look, vdt))
+		dmn.runLeaderActions(name, ldr.Looked(now, sent, act, res, vdt))
 	}
 	return nil
 }
--- a/internal/process/daemon/clock.go
+++ b/internal/process/daemon/clock.go
@@ -14,8 +14,8 @@
 // the runtime's monotonic clock cost none; the kernel is asked only when they diverge, as after a suspension or a change of the
 // time of day.
 type clock struct {
-	// read returns the time of day and the monotonic time since the clock was made; suspendedSinceBoot returns the total time for which the
-	// machine was suspended.
+	// read returns the time of day and the monotonic time since the clock was made; suspendedSinceBoot returns for how long the machine
+	// was suspended since it booted.
 	read               func() (day time.Time, ran time.Duration)
 	suspendedSinceBoot func() time.Duration
 	start              time.Time
@@ -32,13 +32,13 @@
 	return newClockFrom(func() (time.Time, time.Duration) {
 		tim := time.Now()
 		return tim.Round(0), tim.Sub(began)
-	}, suspendedSinceBoot)
+	}, suspension)
 }
 
-// newClockFrom returns a clock with the given sources: tell for clock.read, asleep for clock.suspendedSinceBoot.
-func newClockFrom(tell func() (time.Time, time.Duration), asleep func() time.Duration) *clock {
-	day, ran := tell()
-	clk := &clock{read: tell, suspendedSinceBoot: asleep, start: day.Add(-ran), suspendedAtStart: asleep()}
+// newClockFrom returns a clock that reads the given sources; they are described at the fields of the same names.
+func newClockFrom(read func() (time.Time, time.Duration), suspendedSinceBoot func() time.Duration) *clock {
+	day, ran := read()
+	clk := &clock{read: read, suspendedSinceBoot: suspendedSinceBoot, start: day.Add(-ran), suspendedAtStart: suspendedSinceBoot()}
 	clk.kernelReadAt.Store(int64(ran))
 	return clk
 }
@@ -46,8 +46,8 @@
 const (
 	// maxDivergence is how far the two clocks may diverge without a reason: the process may be paused between reading one and the other.
 	maxDivergence = 2 * time.Millisecond
-	// kernelReadInterval is the maximum time between two reads of the kernel's clock: somebody may set the time of day back by exactly the
-	// duration of a suspension, which hides it.
+	// kernelReadInterval is the maximum time between two reads of the kernel's clock: somebody may set the time of day back by exactly
+	// the duration of a suspension, which hides it.
 	kernelReadInterval = time.Second
 )
 
@@ -62,23 +62,21 @@
 
 // check returns for how long the machine was suspended since the clock was made, given a reading of both clocks.
 func (clk *clock) check(day time.Time, ran time.Duration) time.Duration {
-	parted := day.Sub(clk.start) - ran
-	moved := parted - time.Duration(clk.divergence.Load())
-	if moved.Abs() > maxDivergence || ran-time.Duration(clk.kernelReadAt.Load()) > kernelReadInterval {
+	divergence := day.Sub(clk.start) - ran
+	change := divergence - time.Duration(clk.divergence.Load())
+	if change.Abs() > maxDivergence || ran-time.Duration(clk.kernelReadAt.Load()) > kernelReadInterval {
 		clk.suspendedFor.Store(int64(clk.suspendedSinceBoot() - clk.suspendedAtStart))
-		clk.divergence.Store(int64(parted))
+		clk.divergence.Store(int64(divergence))
 		clk.kernelReadAt.Store(int64(ran))
 	}
 	return time.Duration(clk.suspendedFor.Load())
 }
 
-// suspendedSinceBoot returns for how long the machine was suspended since it booted.
-func suspendedSinceBoot() time.Duration {
-	return readClock(unix.CLOCK_BOOTTIME) - readClock(unix.CLOCK_MONOTONIC)
-}
+// suspension returns for how long the machine was suspended since it booted.
+func suspension() time.Duration { return gettime(unix.CLOCK_BOOTTIME) - gettime(unix.CLOCK_MONOTONIC) }
 
-// readClock returns the value of a kernel clock.
-func readClock(id int32) time.Duration {
+// gettime returns the time of a kernel clock.
+func gettime(id int32) time.Duration {
 	var tsp unix.Timespec
 	if err := unix.ClockGettime(id, &tsp); err != nil {
 		panic(err) // The kernel has had these clocks since 2011; without them no lease can be kept.
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -51,7 +51,7 @@
 	Dial mesh.DialFunc
 	// Now returns a clock reading that never steps and includes the time during which the machine was suspended.
 	Now func() time.Time
-	// Suspended returns the total time for which the machine was suspended.
+	// Suspended returns for how long the machine was suspended in total; Now includes that time.
 	Suspended func() time.Duration
 	Log       zerolog.Logger
 	// SettingsPath is the file that Settings were read from and that is reread on changes; if it is empty, Settings stay fixed.
@@ -70,11 +70,12 @@
 	// cfg is the configuration in force; cfgData is its encoded record, for sending it to instances with an older one.
 	cfg     atomic.Pointer[config.Configuration]
 	cfgData atomic.Pointer[[]byte]
+	// leaving is set when the planned stop begins.
 	leaving atomic.Bool
 	// joined is closed once the instance is registered in the store, configured once a configuration is in force.
 	joined, configured chan struct{}
 
-	// mu guards the fields below it. No call to another process is made while it is held.
+	// mu guards the state of decisions, which follows. No call to another process is made while it is held.
 	mu sync.Mutex
 	// incarnation is unique to this process among all instances: a restart gets a higher one. tokenRound is the highest round of
 	// fencing tokens that this instance has used or heard of.
@@ -88,25 +89,28 @@
 	uplink *shard.Uplink
 	// serversByShard has the entries of the listed backend servers by shard.
 	serversByShard map[succession.Shard][]shard.ServerEntry
-	// divisions is, by failure domain and service, the number of shards, as agreed with the other instances.
+	// divisions has the division into shards of each failure domain, as agreed with the other instances.
 	divisions succession.Divisions
-	entries   map[shard.ServerID]shard.ServerEntry
-	// missing are backend servers whose entries went away while they were not marked as leaving. follower keeps the offset up to which the
-	// list is read; the last read began at listReadAt; census tells whether every server that may live is in the list. unloggedChanges are
-	// changes of the list that are not logged yet; a send on listReadRequested has the list read at once.
+	// entries are the entries in the list of backend servers.
+	entries map[shard.ServerID]shard.ServerEntry
+	// missing are backend servers whose entries went away while they were not marked as leaving.
 	missing map[shard.ServerID]missingServer
 	// domains has the failure domains closed to new work; refusedClosings counts the rejected closings that were logged.
 	domains         *domainlist.List
 	refusedClosings int64
 	// services are all services that a configuration has named since the start; servers of other services are never called.
-	services          map[string]bool
+	services map[string]bool
+	// The last read of the list of backend servers began at listReadAt. coverage tells whether every server that may live is in the list,
+	// follower keeps the offset up to which it is read, unloggedChanges are changes of it that are not logged yet, and a value in
+	// listReadRequested has it read at once.
 	listReadAt        time.Time
-	census            *serverlist.Census
+	coverage          *serverlist.Census
 	follower          *serverlist.Follower
 	unloggedChanges   serverChanges
 	listReadRequested chan struct{}
-	callers           map[submission.Call]chan submission.Answer
-	lastCall          submission.Call
+	// callers are the channels on which calls of Submit wait for their answers.
+	callers  map[submission.Call]chan submission.Answer
+	lastCall submission.Call
 	// suspended is the last value of Params.Suspended.
 	suspended time.Duration
 	// loadsSharedAt is when the loads of the own shards were last passed to the coordinator.
@@ -152,7 +156,7 @@
 		configSentAt: map[shard.InstanceID]time.Time{},
 		reachability: map[shard.Name]*succession.Reach{}, openOrdersWith: map[shard.InstanceID]bool{},
 		follower:          serverlist.NewFollower(serverlist.DefaultConfig(prm.Settings.Instance), prm.Now()),
-		census:            serverlist.NewCensus(serverlist.CensusConfig{Return: entriesReturnTime, Missing: missingTimeout}),
+		coverage:          serverlist.NewCensus(serverlist.CensusConfig{Return: entriesReturnTime, Missing: missingTimeout}),
 		listReadRequested: make(chan struct{}, 1),
 		joined:            make(chan struct{}), configured: make(chan struct{}),
 	}
@@ -160,32 +164,32 @@
 
 // The times of a daemon.
 const (
-	// An instance is lost after four missed heartbeats, 400 ms, plus up to half an interval until the next check. Together with 100 ms for
-	// stops and the lease of 600 ms, this stays under the 1.3 s after which a caller resends its job.
-	beatInterval = 100 * time.Millisecond
-	silentBeats  = 4
+	// An instance is lost after four missed heartbeats, 400 ms, plus up to half an interval until the next check. With 100 ms for stops
+	// and the lease of 600 ms, the sum stays under the 1.3 s after which a caller resends its job.
+	heartbeatInterval = 100 * time.Millisecond
+	missedHeartbeats  = 4
 	// meshTimeout is the timeout of a batch to another instance: 30 round trips to another failure domain.
 	meshTimeout = 150 * time.Millisecond
 	// tickInterval is the maximum delay of a decision that depends on time alone.
 	tickInterval = 20 * time.Millisecond
-	// minResendAfter is the sum of silence, stops and lease above: resent earlier, a job could run twice.
+	// minResendAfter is the upper bound of that sum: if a caller resends a job earlier, the runs of a lost instance may not be over.
 	minResendAfter = 1300 * time.Millisecond
 	// orphanExpiry is silence, stop timeout, lease expiry and a margin: the time after the loss of a leader when everything that it ran
 	// for this instance is surely over.
 	orphanExpiry = 1300 * time.Millisecond
 	// retryAfter is the Retry-After of refused callers: 1 s is the least that the header can express.
 	retryAfter = time.Second
-	// vacancyTimeout is how long all shards may be without a leader before jobs are refused at once: a restart of all instances
+	// leaderlessTimeout is how long all shards may be without a leader before jobs are refused at once: a restart of all instances
 	// takes 1 s.
-	vacancyTimeout = 1500 * time.Millisecond
+	leaderlessTimeout = 1500 * time.Millisecond
 	// startWait is how long a request waits for a process that has just started.
 	startWait = time.Second
 	// pauseThreshold is the interval between two ticks above which a process counts as paused for lack of processor time; on a fifth of
 	// a core, a dozen batches take that long.
 	pauseThreshold = 60 * time.Millisecond
 	// After a pause of longPauseThreshold a process reads its sockets for socketReadTime before it starts any task: callers resend jobs
-	// 1.3 s after they lost their connection, and owners start tasks elsewhere 1.7 s after they last heard a leader. On a fifth
-	// of a core some hundred batches are read within 50 ms.
+	// 1.3 s after they lost their connection, and owners start tasks elsewhere 1.7 s after they last heard a leader. On a fifth of a core
+	// some hundred batches are read within 50 ms.
 	longPauseThreshold = 500 * time.Millisecond
 	socketReadTime     = 50 * time.Millisecond
 	// suspensionThreshold is how long the machine may be suspended before the state of the process is stale: other instances are then
@@ -272,7 +276,7 @@
 	dmn.incarnation, dmn.tokenRound = life, life
 	dmn.self = mesh.ID(set.Instance, life)
 	dmn.coordinator = submission.NewDesk(submission.Config{
-		Self: dmn.self, Domain: set.FailureDomain, Proof: orphanExpiry, RetryAfter: retryAfter, Vacancy: vacancyTimeout, Link: dmn.uplink,
+		Self: dmn.self, Domain: set.FailureDomain, Proof: orphanExpiry, RetryAfter: retryAfter, Vacancy: leaderlessTimeout, Link: dmn.uplink,
 	}, now)
 	dmn.runCoordinatorActions(dmn.coordinator.SetClosed(now, dmn.domains.View().Closed))
 	close(dmn.joined)
@@ -280,7 +284,7 @@
 		ID: dmn.self, Domain: set.FailureDomain, Processor: set.Processor,
 	}, now)
 	dmn.mesh = mesh.New(mesh.Config{
-		Name: set.Instance, Life: life, Address: set.PeerAddress, Interval: beatInterval, SilentBeats: silentBeats,
+		Name: set.Instance, Life: life, Address: set.PeerAddress, Interval: heartbeatInterval, SilentBeats: missedHeartbeats,
 		CallTimeout: meshTimeout, Now: dmn.now,
 	}, dmn.prm.Dial, dmn)
 	dmn.updateShards(now)
--- a/internal/process/daemon/decide.go
+++ b/internal/process/daemon/decide.go
@@ -32,8 +32,8 @@
 }
 
 // handleSuspension resigns all shards after the machine was suspended for a time.
-func (dmn *Daemon) handleSuspension(now time.Time, slept time.Duration) {
-	dmn.log.Warn().Dur("suspended", slept).Msg("the machine was suspended; giving up its shards")
+func (dmn *Daemon) handleSuspension(now time.Time, suspended time.Duration) {
+	dmn.log.Warn().Dur("suspended", suspended).Msg("the machine was suspended; giving up its shards")
 	for name := range dmn.leaders {
 		dmn.resignShard(now, name, false)
 	}
@@ -61,8 +61,8 @@
 	dmn.localActions = nil
 }
 
-// loadShareInterval is the maximum age of the own shards' loads that the coordinator uses. It may be short of the real state: an order
-// sent for capacity that is gone is returned within 2 ms.
+// loadShareInterval is the maximum age of the own shards' loads that the coordinator uses. A stale load does little harm: an order sent
+// for capacity that is gone is returned within 2 ms.
 const loadShareInterval = 4 * time.Millisecond
 
 // shareLoads passes the loads of the own shards to the own coordinator; other instances get them with each heartbeat.
@@ -206,7 +206,7 @@
 
 // updateOpenOrders updates the instances with which unfinished orders exist, at most once per heartbeat interval.
 func (dmn *Daemon) updateOpenOrders(now time.Time) {
-	if now.Sub(dmn.openOrdersUpdatedAt) < beatInterval {
+	if now.Sub(dmn.openOrdersUpdatedAt) < heartbeatInterval {
 		return
 	}
 	dmn.openOrdersUpdatedAt = now
@@ -256,14 +256,14 @@
 	}
 	dmn.elector.SetShards(succession.Sorted(dmn.serversByShard))
 	dmn.leadersChanged = true
-	gone := maps.Clone(dmn.leaders)
+	obsolete := maps.Clone(dmn.leaders)
 	for shd := range dmn.serversByShard {
-		delete(gone, shd.Name)
+		delete(obsolete, shd.Name)
 		if ldr := dmn.leaders[shd.Name]; ldr != nil {
 			dmn.runLeaderActions(shd.Name, ldr.SetServers(now, dmn.shardListing(now, shd)))
 		}
 	}
-	for name := range gone {
+	for name := range obsolete {
 		if len(dmn.entries) > 0 {
 			dmn.resignShard(now, name, false)
 		}
--- a/internal/process/daemon/heard.go
+++ b/internal/process/daemon/heard.go
@@ -24,7 +24,7 @@
 	now := dmn.now()
 	bet.ListedTo = dmn.completeListOffset(now)
 	for name, ldr := range dmn.leaders {
-		// Capacity that becomes free later goes with the report of the run's end; the next heartbeat may be 400 ms away.
+		// Capacity that has just become free is reported with the run's end that freed it; the next heartbeat may be 400 ms away.
 		bet.Leads = append(bet.Leads, mesh.Lead{Shard: name, Token: ldr.Token(), Load: ldr.Load(now)})
 	}
 	return bet
@@ -37,14 +37,14 @@
 	for _, ldr := range dmn.leaders {
 		ldr.OwnerHeard(from, at)
 	}
-	dmn.handleBeat(now, from, bet)
+	dmn.handleHeartbeat(now, from, bet)
 	for _, msg := range msgs {
 		dmn.handleMessage(now, from, msg)
 	}
 }
 
-// handleBeat merges the state in another instance's heartbeat and updates leaders and heartbeat intervals if leadership changed.
-func (dmn *Daemon) handleBeat(now time.Time, from shard.InstanceID, bet mesh.Beat) {
+// handleHeartbeat merges the state in another instance's heartbeat and updates leaders and heartbeat intervals if leadership changed.
+func (dmn *Daemon) handleHeartbeat(now time.Time, from shard.InstanceID, bet mesh.Beat) {
 	dmn.tokenRound = max(dmn.tokenRound, bet.Round)
 	dmn.mergeClosings(now, from, bet.Domains)
 	dmn.handleCompleteOffset(now, from, bet.ListedTo)
@@ -65,7 +65,6 @@
 	}
 	if changed {
 		// Before anything else, not at the next tick: a shard that another instance leads by now would have its orders on both.
-		// and there.
 		dmn.resignSuperseded(now)
 		dmn.updateLeaders()
 		dmn.updatePaces()
--- a/internal/process/daemon/list.go
+++ b/internal/process/daemon/list.go
@@ -17,7 +17,7 @@
 // followServerList reads the list of backend servers until ctx ends, whenever no other instance is known to read it. It polls, as each
 // server's heartbeat is a record and a waiting read would return for each of them.
 func (dmn *Daemon) followServerList(ctx context.Context) error {
-	sto := storeState{topic: platform.ServersTopic}
+	state := storeState{topic: platform.ServersTopic}
 	asked := false
 	for ctx.Err() == nil {
 		if dmn.listReadDue() || asked {
@@ -25,7 +25,7 @@
 			if ctx.Err() != nil {
 				return nil
 			}
-			dmn.logStoreState(&sto, err)
+			dmn.logStoreState(&state, err)
 			switch {
 			case errors.Is(err, platform.ErrCompacted):
 				continue
@@ -98,7 +98,7 @@
 	now := dmn.beginEvent()
 	defer dmn.endEvent(now)
 	dmn.listReadAt = began
-	dmn.census.ReadAll(now, next)
+	dmn.coverage.ReadAll(now, next)
 	dmn.follower.ReadAll(next)
 	dmn.removeUnlisted(now, recs)
 	for _, rec := range recs {
@@ -115,7 +115,7 @@
 	now := dmn.beginEvent()
 	defer dmn.endEvent(now)
 	dmn.listReadAt = began
-	dmn.census.Read(now)
+	dmn.coverage.Read(now)
 	known := dmn.follower.Read(from, next)
 	changed := false
 	for num, rec := range recs {
--- a/internal/process/daemon/servers.go
+++ b/internal/process/daemon/servers.go
@@ -108,7 +108,7 @@
 
 // completeListOffset returns the offset of the list up to which all servers that may live are known and have entries; 0 if unknown.
 func (dmn *Daemon) completeListOffset(now time.Time) int64 {
-	if !dmn.census.Whole(now) {
+	if !dmn.coverage.Whole(now) {
 		return 0
 	}
 	for _, mis := range dmn.missing {
@@ -122,7 +122,7 @@
 // handleCompleteOffset applies the offset up to which another instance knows all servers that may live. If that completes the own list,
 // and a leader waits for a complete one, the list is read at once.
 func (dmn *Daemon) handleCompleteOffset(now time.Time, from shard.InstanceID, to int64) {
-	if !dmn.census.Told(now, to) {
+	if !dmn.coverage.Told(now, to) {
 		return
 	}
 	dmn.log.Info().Str("from", string(from)).Int64("offset", to).Msg("the list of backend servers is whole")
@@ -135,7 +135,7 @@
 // may lack entries that expired, for instance as the store has just come back. Entries that go away later are kept as missing.
 func (dmn *Daemon) shardListing(now time.Time, shd succession.Shard) shard.Listing {
 	lst := shard.Listing{Listed: dmn.serversByShard[shd], All: dmn.entries}
-	if dmn.census.Whole(now) {
+	if dmn.coverage.Whole(now) {
 		lst.ReadAt = dmn.listReadAt
 	}
 	for _, mis := range dmn.missing {
--- a/internal/process/daemon/story_test.go
+++ b/internal/process/daemon/story_test.go
@@ -222,12 +222,12 @@
 	// the time after which an owner starts tasks elsewhere, and callers send their jobs again.
 	chk := is.NewRelaxed(t)
 	cfg := shard.DefaultConfig()
-	noticed := silentBeats*beatInterval + beatInterval/2 + mesh.ReadTime
+	noticed := missedHeartbeats*heartbeatInterval + heartbeatInterval/2 + mesh.ReadTime
 	over := noticed + cfg.StopPatience + cfg.Lapse()
 	chk.True(over < orphanExpiry)
 	chk.True(over < minResendAfter)
 	// An order that follows its shard to a new leader comes once its owner has missed the former one.
-	chk.True(over < silentBeats*beatInterval+cfg.Doubt)
+	chk.True(over < missedHeartbeats*heartbeatInterval+cfg.Doubt)
 }
 
 func TestShardGoesToAFreshInstanceWhoseListIsShort(t *testing.T) {
--- a/internal/process/daemon/traffic.go
+++ b/internal/process/daemon/traffic.go
@@ -59,16 +59,16 @@
 	last := map[string]rpc.Stats{}
 	for sleepContext(ctx, trafficInterval) {
 		lin := dmn.log.Info()
-		tell := func(name string, now rpc.Stats) {
+		add := func(name string, now rpc.Stats) {
 			was := last[name]
 			lin = lin.Uint64(name+"-in", now.BytesIn-was.BytesIn).Uint64(name+"-out", now.BytesOut-was.BytesOut).
 				Uint64(name+"-calls", now.Calls-was.Calls)
 			last[name] = now
 		}
 		for _, way := range dmn.cnt.traffic.classes() {
-			tell(way.name, way.cnt.Stats())
+			add(way.name, way.cnt.Stats())
 		}
-		tell("peers", dmn.mesh.Stats())
+		add("peers", dmn.mesh.Stats())
 		lin.Msg("traffic")
 	}
 	return nil
