--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -117,12 +117,10 @@
 	loadsSharedAt time.Time
 	// instancesRead is set once the list of instances was read from the store.
 	instancesRead bool
-	// reachability tracks whether the servers of leaderless shards in other failure domains answer; probes counts the probes sent, to
-	// alternate between the servers.
+	// reachability tracks whether the servers of leaderless shards in other failure domains answer; probes counts the probes sent.
 	reachability map[shard.Name]*succession.Reach
 	probes       int
-	// leadersChanged is set when this instance took over or resigned a shard, or the set of shards changed; the next tick then updates
-	// the coordinator.
+	// leadersChanged is set when this instance took over or resigned a shard, or the shards changed; the next tick updates the coordinator.
 	leadersChanged bool
 	// lastTickAt is the time of the last tick; zero before the first.
 	lastTickAt time.Time
@@ -177,15 +175,13 @@
 	// orphanExpiry is silence, stop timeout, lease expiry and a margin: the time after the loss of a leader when everything that it ran
 	// for this instance is surely over.
 	orphanExpiry = 1300 * time.Millisecond
-	// retryAfter is the Retry-After of refused callers: 1 s is the least that the header can express.
+	// retryAfter is the Retry-After of refused callers: 1 s is the shortest time that the header can express.
 	retryAfter = time.Second
-	// leaderlessTimeout is how long all shards may be without a leader before jobs are refused at once: a restart of all instances
-	// takes 1 s.
+	// leaderlessTimeout is how long all shards may lack a leader before jobs are refused at once: a restart of all instances takes 1 s.
 	leaderlessTimeout = 1500 * time.Millisecond
 	// startWait is how long a request waits for a process that has just started.
 	startWait = time.Second
-	// pauseThreshold is the interval between two ticks above which a process counts as paused for lack of processor time; on a fifth of
-	// a core, a dozen batches take that long.
+	// pauseThreshold is the interval between two ticks above which a process counts as paused: a dozen batches take that on a fifth of a core.
 	pauseThreshold = 60 * time.Millisecond
 	// After a pause of longPauseThreshold a process reads its sockets for socketReadTime before it starts any task: callers resend jobs
 	// 1.3 s after they lost their connection, and owners start tasks elsewhere 1.7 s after they last heard a leader. On a fifth of a core
@@ -197,8 +193,7 @@
 	suspensionThreshold = 250 * time.Millisecond
 )
 
-// Run works until ctx ends, then hands over the shards and returns once every caller has its answer. It returns an error only if it
-// fails before ctx ends.
+// Run works until ctx ends, then hands over the shards and returns once callers have their answers; an error means that it failed before.
 func (dmn *Daemon) Run(ctx context.Context, lis Listeners) error {
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
--- a/internal/process/daemon/decide.go
+++ b/internal/process/daemon/decide.go
@@ -154,7 +154,8 @@
 	dmn.runLocalActions(now)
 }
 
-// logPause logs and counts a pause of this process: lack of processor time, here or on another instance, explains most missed deadlines.
+// logPause logs and counts a pause of this process: lack of processor time, here or on another instance, explains most of the heartbeats
+// and answers that it missed.
 func (dmn *Daemon) logPause(pause time.Duration) {
 	if dmn.lastTickAt.IsZero() {
 		return
--- a/internal/process/daemon/heard.go
+++ b/internal/process/daemon/heard.go
@@ -24,7 +24,7 @@
 	now := dmn.now()
 	bet.ListedTo = dmn.completeListOffset(now)
 	for name, ldr := range dmn.leaders {
-		// Capacity that has just become free is reported with the run's end that freed it; the next heartbeat may be 400 ms away.
+		// Capacity that has just become free is also in the report of the run's end, as the next heartbeat may be 400 ms away.
 		bet.Leads = append(bet.Leads, mesh.Lead{Shard: name, Token: ldr.Token(), Load: ldr.Load(now)})
 	}
 	return bet
@@ -99,7 +99,7 @@
 
 const (
 	// configSendDelay is the time in which an instance reads a new configuration from a working store; configSendStagger is the time
-	// between the turns of two senders. Two of them may fail within the 2 s that a configuration change may take.
+	// between the turns of two senders, so that two of them may fail within the 2 s that a configuration change may take.
 	configSendDelay   = 500 * time.Millisecond
 	configSendStagger = 400 * time.Millisecond
 	// configSendPause is the minimum time between two sends to an instance, so that it can report that it has the configuration.
--- a/internal/process/daemon/list.go
+++ b/internal/process/daemon/list.go
@@ -109,8 +109,8 @@
 	dmn.updateShards(now)
 }
 
-// applyListChanges applies the records from one offset of the list to another, read from a time on, and keeps changes for the next digest.
-// Records that are known from a digest are skipped.
+// applyListChanges applies the records from one offset of the list to another, of a read that began at a time, and keeps the changes for
+// the next digest. Records that are known from a digest are skipped.
 func (dmn *Daemon) applyListChanges(began time.Time, recs []platform.Record, from, next int64) {
 	now := dmn.beginEvent()
 	defer dmn.endEvent(now)
--- a/internal/process/daemon/servers.go
+++ b/internal/process/daemon/servers.go
@@ -19,8 +19,8 @@
 	// entriesReturnTime is the time after which, once the store is back, the entries of live servers are back too (2 s, the platform's
 	// documentation) and were read.
 	entriesReturnTime = 2500 * time.Millisecond
-	// missingTimeout is how long a server without an entry may still be led by some instance: longer than the longest known outage of
-	// the store, 11.5 s.
+	// missingTimeout is how long a server without an entry may still be led by some instance: longer than the longest known outage on the
+	// platform, 11.5 s.
 	missingTimeout = 30 * time.Second
 )
 
