--- a/internal/process/daemon/count.go
+++ b/internal/process/daemon/count.go
@@ -101,9 +101,9 @@
 		for res := range cnt.answers {
 			line("answers-"+submission.Result(res).String(), cnt.answers[res].Load())
 		}
-		for _, way := range cnt.traffic.classes() {
-			line(way.name+"-bytes-in", int64(way.cnt.Stats().BytesIn))
-			line(way.name+"-bytes-out", int64(way.cnt.Stats().BytesOut))
+		for _, cls := range cnt.traffic.classes() {
+			line(cls.name+"-bytes-in", int64(cls.cnt.Stats().BytesIn))
+			line(cls.name+"-bytes-out", int64(cls.cnt.Stats().BytesOut))
 		}
 		cnt.startTimes.write("start", line)
 		cnt.answerTimes.write("answer", line)
@@ -116,11 +116,11 @@
 // write passes the count of each bucket and the total in microseconds to line.
 func (hst *histogram) write(name string, line func(string, int64)) {
 	for idx := range hst.buckets {
-		end := "more"
+		upper := "more"
 		if idx < len(bucketBounds) {
-			end = bucketBounds[idx].String()
+			upper = bucketBounds[idx].String()
 		}
-		line(name+"-time-"+end, hst.buckets[idx].Load())
+		line(name+"-time-"+upper, hst.buckets[idx].Load())
 	}
 	line(name+"-time-total-micros", hst.total.Load()/int64(time.Microsecond))
 }
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -181,7 +181,7 @@
 	leaderlessTimeout = 1500 * time.Millisecond
 	// startWait is how long a request waits for a process that has just started.
 	startWait = time.Second
-	// pauseThreshold is the interval between two ticks above which a process counts as paused: a dozen batches take that on a fifth of a core.
+	// pauseThreshold is the interval between ticks above which a process counts as paused: a dozen batches take it on a fifth of a core.
 	pauseThreshold = 60 * time.Millisecond
 	// After a pause of longPauseThreshold a process reads its sockets for socketReadTime before it starts any task: callers resend jobs
 	// 1.3 s after they lost their connection, and owners start tasks elsewhere 1.7 s after they last heard a leader. On a fifth of a core
--- a/internal/process/daemon/traffic.go
+++ b/internal/process/daemon/traffic.go
@@ -65,8 +65,8 @@
 				Uint64(name+"-calls", now.Calls-was.Calls)
 			last[name] = now
 		}
-		for _, way := range dmn.cnt.traffic.classes() {
-			add(way.name, way.cnt.Stats())
+		for _, cls := range dmn.cnt.traffic.classes() {
+			add(cls.name, cls.cnt.Stats())
 		}
 		add("peers", dmn.mesh.Stats())
 		lin.Msg("traffic")
