--- a/internal/process/daemon/callers_test.go
+++ b/internal/process/daemon/callers_test.go
@@ -22,16 +22,16 @@
 }
 
 // send submits a job to an instance and returns the status, 0 if there was no answer.
-func (wld *world) send(ctx context.Context, to string, job jobSpec) int {
-	status, _ := wld.call(ctx, to, job)
+func (sys *testSystem) send(ctx context.Context, to string, job jobSpec) int {
+	status, _ := sys.call(ctx, to, job)
 	return status
 }
 
-func (wld *world) call(ctx context.Context, to string, job jobSpec) (int, string) {
-	return wld.callHost(ctx, wld.entries[to].host, job)
+func (sys *testSystem) call(ctx context.Context, to string, job jobSpec) (int, string) {
+	return sys.callHost(ctx, sys.instances[to].host, job)
 }
 
-func (wld *world) callHost(ctx context.Context, host string, job jobSpec) (int, string) {
+func (sys *testSystem) callHost(ctx context.Context, host string, job jobSpec) (int, string) {
 	if job.path == "" {
 		job.path = "/thumb/"
 	}
@@ -44,7 +44,7 @@
 	text, _ := json.Marshal(job.payload) // Plain fields always encode.
 	ctx, cancel := context.WithTimeout(ctx, job.patience)
 	defer cancel()
-	rep, err := wld.client().Submit(ctx, host+":1", &standin.Job{
+	rep, err := sys.client().Submit(ctx, host+":1", &standin.Job{
 		ID: job.id, Queue: job.path, Tasks: job.tasks, Processor: job.processor(), Memory: 64,
 		Expected: job.expected, Payload: string(text), Patience: job.patience,
 	})
@@ -54,37 +54,37 @@
 	return rep.Status, rep.Body
 }
 
-func (wld *world) client() *standin.Client {
+func (sys *testSystem) client() *standin.Client {
 	return standin.NewClient(&http.Client{
-		Transport: &http.Transport{DialContext: wld.net.Dialer(clientHost), DisableKeepAlives: true},
+		Transport: &http.Transport{DialContext: sys.net.Dialer(clientHost), DisableKeepAlives: true},
 	})
 }
 
-// queue asks an instance for a queue and returns the status, 0 if there was no answer.
-func (wld *world) queue(at, path string) int {
-	rep, err := wld.client().Queue(wld.ctx, wld.entries[at].host+":1", path)
+// queryQueue asks an instance for a queryQueue and returns the status, 0 if there was no answer.
+func (sys *testSystem) queryQueue(at, path string) int {
+	rep, err := sys.client().Queue(sys.ctx, sys.instances[at].host+":1", path)
 	if err != nil {
 		return 0
 	}
 	return rep.Status
 }
 
-// sent is a submission in progress.
-type sent struct {
+// sentJob is a submission in progress.
+type sentJob struct {
 	status int
 	took   time.Duration
 	body   string
 	done   chan struct{}
 }
 
-func (wld *world) sendAsync(ctx context.Context, to string, job jobSpec) *sent {
-	snt := &sent{done: make(chan struct{})}
+func (sys *testSystem) sendAsync(ctx context.Context, to string, job jobSpec) *sentJob {
+	snt := &sentJob{done: make(chan struct{})}
 	// The caller's address is fixed now: the instance of that name may be another one when it sends.
-	host := wld.entries[to].host
-	wld.grp.Go(func() error {
+	host := sys.instances[to].host
+	sys.grp.Go(func() error {
 		defer close(snt.done)
 		began := time.Now()
-		snt.status, snt.body = wld.callHost(ctx, host, job)
+		snt.status, snt.body = sys.callHost(ctx, host, job)
 		snt.took = time.Since(began)
 		return nil
 	})
--- /dev/null
+++ b/internal/process/daemon/closed_test.go
@@ -0,0 +1,222 @@
+package daemon
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"chestnutstack/platform"
+)
+
+// closingDelay is how long the news that a failure domain is closed may take.
+const closingDelay = time.Second
+
+// closeDomain closes a failure domain, as an operator does; a start there once the news is out breaks a promise.
+func (sys *testSystem) closeDomain(domain string) {
+	sys.sto.CloseDomain(domain)
+	sys.ldg.Close(serversOf(domain), time.Now().Add(closingDelay))
+}
+
+func (sys *testSystem) openDomain(domain string) {
+	sys.sto.OpenDomain(domain)
+	sys.ldg.Open(serversOf(domain))
+}
+
+// serversOf returns how the names of a failure domain's servers begin.
+func serversOf(domain string) string { return "server-" + strings.TrimPrefix(domain, "domain-") + "-" }
+
+// sendLoad sends a job to each instance in turn for a while, and returns the calls.
+func (sys *testSystem) sendLoad(first int, every, dur time.Duration) []*sentJob {
+	var snts []*sentJob
+	for num := first; dur > 0; dur -= every {
+		prcs := sys.runningProcesses()
+		snts = append(snts, sys.sendAsync(sys.ctx, prcs[num%len(prcs)].name, jobSpec{
+			id: jobID(num), tasks: 2, payload: payload{Millis: 150}, patience: 3 * time.Second,
+		}))
+		num++
+		time.Sleep(every)
+	}
+	return snts
+}
+
+// countStatuses returns how many calls were answered with each status.
+func countStatuses(snts []*sentJob) map[int]int {
+	num := map[int]int{}
+	for _, snt := range snts {
+		<-snt.done
+		num[snt.status]++
+	}
+	return num
+}
+
+// A closed failure domain gets tasks: from an instance that has not heard of it, that has just taken a shard over, or that has just started.
+func TestClosedDomainGetsNoWork(t *testing.T) {
+	cases := map[string]func(sys *testSystem){
+		"nothing happens":        func(*testSystem) {},
+		"its leader loses power": func(sys *testSystem) { sys.powerOff(sys.leader("domain-2")) },
+		"its leader stops":       func(sys *testSystem) { sys.instances[sys.leader("domain-2")].stop() },
+		"an instance starts":     func(sys *testSystem) { sys.startInstance("entry-2-9", "domain-2") },
+		"its instances all lose power and start again": func(sys *testSystem) {
+			for _, prc := range sys.runningProcesses() {
+				if prc.domain == "domain-2" {
+					sys.powerOff(prc.name)
+				}
+			}
+			time.Sleep(500 * time.Millisecond)
+			sys.startInstance("entry-2-1", "domain-2")
+			sys.startInstance("entry-2-2", "domain-2")
+		},
+		"its leader freezes and wakes": func(sys *testSystem) {
+			prc := sys.instances[sys.leader("domain-2")]
+			sys.net.Separate(prc.host, storeHost)
+			prc.addSuspension(2 * time.Second)
+			time.Sleep(time.Second)
+			sys.net.Heal()
+		},
+		"the store turns its instances away": func(sys *testSystem) {
+			for _, prc := range sys.runningProcesses() {
+				if prc.domain == "domain-2" {
+					sys.net.Separate(prc.host, storeHost)
+				}
+			}
+		},
+		"the store is away": func(sys *testSystem) { sys.sto.SetDown(true) },
+		"the history is dropped": func(sys *testSystem) {
+			sys.sto.Compact(string(platform.ConfigurationTopic))
+			sys.publishRoutes("/thumb/", "/deck/")
+		},
+		"another writer writes nonsense": func(sys *testSystem) {
+			sys.sto.Put(string(platform.ConfigurationTopic), "evacuate/domain-2", "no")
+			sys.sto.CloseDomain("")
+		},
+	}
+	for name, trouble := range cases {
+		t.Run(name, func(t *testing.T) {
+			inTestSystem(t, 3, 2, 3, func(sys *testSystem) {
+				chk := is.NewRelaxed(t)
+				all := sys.sendLoad(0, 30*time.Millisecond, time.Second)
+				sys.closeDomain("domain-2")
+				all = append(all, sys.sendLoad(100, 30*time.Millisecond, 300*time.Millisecond)...)
+				trouble(sys)
+				all = append(all, sys.sendLoad(200, 30*time.Millisecond, 4*time.Second)...)
+				sys.sto.SetDown(false)
+				sys.net.Heal()
+				chk.True(countStatuses(all)[http.StatusOK] >= len(all)*9/10)
+			})
+		})
+	}
+}
+
+// What waits in the queues of a domain that is being closed stays there until its callers' deadlines.
+func TestClosedDomainGivesWaitingWorkBack(t *testing.T) {
+	inTestSystem(t, 2, 1, 1, func(sys *testSystem) {
+		chk := is.NewRelaxed(t)
+		long := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 4, payload: payload{Millis: 800}})
+		time.Sleep(50 * time.Millisecond)
+		var snts []*sentJob
+		for num := range 2 {
+			snts = append(snts, sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(10 + num), tasks: 2, payload: payload{Millis: 400}}))
+		}
+		sys.closeDomain("domain-1")
+		<-long.done
+		chk.Equal(long.status, http.StatusOK) // What runs there finishes.
+		for _, snt := range snts {
+			<-snt.done
+			chk.Equal(snt.status, http.StatusOK)
+			chk.True(snt.took < 1800*time.Millisecond) // Two rounds of 0.4 s after what runs.
+		}
+	})
+}
+
+// With all failure domains closed, callers wait until their deadlines for servers that get nothing.
+func TestAllDomainsAreClosed(t *testing.T) {
+	inTestSystem(t, 2, 2, 2, func(sys *testSystem) {
+		chk := is.NewRelaxed(t)
+		sys.closeDomain("domain-1")
+		sys.closeDomain("domain-2")
+		time.Sleep(200 * time.Millisecond)
+		for num, name := range sys.instanceNames() {
+			snt := sys.sendAsync(sys.ctx, name, jobSpec{id: jobID(num), tasks: 2, payload: payload{Millis: 100}})
+			<-snt.done
+			chk.Equal(snt.status, http.StatusServiceUnavailable)
+			chk.True(snt.took < 20*time.Millisecond)
+			chk.Equal(sys.ldg.JobStarts(jobID(num)), 0)
+		}
+		sys.openDomain("domain-2")
+		time.Sleep(200 * time.Millisecond)
+		for num, name := range sys.instanceNames() {
+			chk.Equal(sys.send(sys.ctx, name, jobSpec{id: jobID(100 + num), tasks: 2, payload: payload{Millis: 100}}), http.StatusOK)
+		}
+	})
+}
+
+// A closed domain that is cut off has instances and callers, and no server that may be used.
+func TestClosedDomainIsCutOff(t *testing.T) {
+	inTestSystem(t, 3, 2, 2, func(sys *testSystem) {
+		chk := is.NewRelaxed(t)
+		sys.closeDomain("domain-1")
+		time.Sleep(500 * time.Millisecond)
+		sys.cut("domain-1")
+		time.Sleep(3 * time.Second)
+		snt := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 2, payload: payload{Millis: 100}})
+		<-snt.done
+		chk.Equal(snt.status, http.StatusServiceUnavailable)
+		chk.True(snt.took < 20*time.Millisecond)
+		sys.net.Heal()
+		time.Sleep(2 * time.Second)
+		chk.Equal(sys.send(sys.ctx, "entry-1-1", jobSpec{id: jobID(2), tasks: 2, payload: payload{Millis: 100}}), http.StatusOK)
+	})
+}
+
+// A domain that was opened stays without work, with the news lost or read twice.
+func TestDomainIsOpenedAgain(t *testing.T) {
+	cases := map[string]func(sys *testSystem){
+		"by its record":                  func(sys *testSystem) { sys.openDomain("domain-1") },
+		"within the time that news take": func(sys *testSystem) { sys.openDomain("domain-1"); sys.closeDomain("domain-1"); sys.openDomain("domain-1") },
+		"and the history is dropped": func(sys *testSystem) {
+			sys.openDomain("domain-1")
+			sys.sto.Compact(string(platform.ConfigurationTopic))
+		},
+		"while the store is away": func(sys *testSystem) {
+			sys.sto.SetDown(true)
+			sys.openDomain("domain-1")
+			time.Sleep(2 * time.Second)
+			sys.sto.SetDown(false)
+		},
+	}
+	for name, open := range cases {
+		t.Run(name, func(t *testing.T) {
+			inTestSystem(t, 2, 1, 2, func(sys *testSystem) {
+				chk := is.NewRelaxed(t)
+				sys.closeDomain("domain-1")
+				time.Sleep(1500 * time.Millisecond)
+				open(sys)
+				time.Sleep(1500 * time.Millisecond)
+				// All eight run at once only with the servers of both domains.
+				began := time.Now()
+				job := jobSpec{id: jobID(1), tasks: 8, payload: payload{Millis: 300}}
+				chk.Equal(sys.send(sys.ctx, "entry-2-1", job), http.StatusOK)
+				chk.True(time.Since(began) < 500*time.Millisecond)
+				chk.Equal(sys.ldg.JobStarts(jobID(1)), 8)
+			})
+		})
+	}
+}
+
+// Thousands of records name failure domains that do not exist.
+func TestManyClosingsOfUnknownDomains(t *testing.T) {
+	inTestSystem(t, 2, 1, 1, func(sys *testSystem) {
+		chk := is.NewRelaxed(t)
+		for num := range 2000 {
+			sys.sto.CloseDomain(fmt.Sprint("none-", num))
+		}
+		sys.closeDomain("domain-1")
+		time.Sleep(time.Second)
+		chk.Equal(sys.send(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 2, payload: payload{Millis: 100}}), http.StatusOK)
+		chk.True(sys.instances["entry-1-1"].dmn.cnt.badClosings.Load() > 0)
+	})
+}
--- a/internal/process/daemon/entries_story_test.go
+++ b/internal/process/daemon/entries_test.go
@@ -18,27 +18,27 @@
 	// back to its owner as not run, and started elsewhere up to 40 ms before its first run's lease had lapsed.
 	for back := 50 * time.Millisecond; back <= 950*time.Millisecond; back += 100 * time.Millisecond {
 		t.Run(fmt.Sprint("back-after-", back), func(t *testing.T) {
-			inWorld(t, 2, 2, 4, func(wld *world) { entriesLapse(t, wld, back) })
+			inTestSystem(t, 2, 2, 4, func(sys *testSystem) { expireServerEntries(t, sys, back) })
 		})
 	}
 }
 
-func entriesLapse(t *testing.T, wld *world, back time.Duration) {
+func expireServerEntries(t *testing.T, sys *testSystem, back time.Duration) {
 	t.Helper()
 	chk := is.NewRelaxed(t)
-	wld.cut("domain-1")
+	sys.cut("domain-1")
 	time.Sleep(3 * time.Second)
 	for num := range 4 {
-		wld.sto.Unlist(wld.servers[fmt.Sprintf("server-1-%d", num+1)])
+		sys.sto.Unlist(sys.servers[fmt.Sprintf("server-1-%d", num+1)])
 	}
-	first := wld.sendAsync(wld.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 4, payload: payload{Millis: 1800}})
-	second := wld.sendAsync(wld.ctx, "entry-1-2", jobSpec{id: jobID(2), tasks: 4, payload: payload{Millis: 1800}})
+	first := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 4, payload: payload{Millis: 1800}})
+	second := sys.sendAsync(sys.ctx, "entry-1-2", jobSpec{id: jobID(2), tasks: 4, payload: payload{Millis: 1800}})
 	time.Sleep(100 * time.Millisecond)
-	wld.heal()
+	sys.heal()
 	time.Sleep(back)
 	for num := range 4 {
 		// One after the other, as their heartbeats come.
-		wld.list(fmt.Sprintf("server-1-%d", num+1), "domain-1", "ready")
+		sys.listServer(fmt.Sprintf("server-1-%d", num+1), "domain-1", "ready")
 		time.Sleep(150 * time.Millisecond)
 	}
 	<-first.done
@@ -46,8 +46,8 @@
 	chk.Equal(first.status, http.StatusOK)
 	chk.Equal(second.status, http.StatusOK)
 	for num := range 4 {
-		chk.Equal(wld.ldg.Starts(fmt.Sprintf("%s.0.0.%d", jobID(1), num)), 1)
-		chk.Equal(wld.ldg.Starts(fmt.Sprintf("%s.0.0.%d", jobID(2), num)), 1)
+		chk.Equal(sys.ldg.Starts(fmt.Sprintf("%s.0.0.%d", jobID(1), num)), 1)
+		chk.Equal(sys.ldg.Starts(fmt.Sprintf("%s.0.0.%d", jobID(2), num)), 1)
 	}
-	chk.True(!strings.Contains(wld.logged(), "leaving the shard"))
+	chk.True(!strings.Contains(sys.logText(), "leaving the shard"))
 }
--- a/internal/process/daemon/grown_bench_test.go
+++ b/internal/process/daemon/grown_bench_test.go
@@ -17,7 +17,7 @@
 	var looks int64
 	for ben.Loop() {
 		began := processorTime(ben)
-		playInWorld(ben, 3, 13, 117, func(wld *world) {
+		runTestSystem(ben, 3, 13, 117, func(sys *testSystem) {
 			rnd := rand.New(rand.NewPCG(1, 1))
 			kinds := []jobSpec{
 				{tasks: 8, payload: payload{Millis: 60}}, {tasks: 4, payload: payload{Millis: 900}}, {tasks: 2, payload: payload{Millis: 200}},
@@ -26,16 +26,16 @@
 				job := kinds[[]int{0, 0, 1, 2, 2, 2, 2, 2, 2, 2}[rnd.IntN(10)]]
 				job.id = jobID(num)
 				tasks += job.tasks
-				wld.sendAsync(wld.ctx, wld.anyEntry(rnd), job)
+				sys.sendAsync(sys.ctx, sys.randomInstance(rnd), job)
 				if num%4 == 0 {
 					id := fmt.Sprintf("server-%d-%d", 1+rnd.IntN(3), 1+rnd.IntN(117))
-					wld.list(id, "domain-"+id[7:8], "ready")
+					sys.listServer(id, "domain-"+id[7:8], "ready")
 				}
 				time.Sleep(1176 * time.Microsecond)
 			}
 			time.Sleep(2 * time.Second)
 			used += processorTime(ben) - began
-			for _, prc := range wld.entries {
+			for _, prc := range sys.instances {
 				calls += prc.dmn.mesh.Stats().Calls
 				looks += prc.dmn.cnt.looks.Load()
 			}
--- /dev/null
+++ b/internal/process/daemon/list_test.go
@@ -0,0 +1,158 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"chestnutstack/platform"
+)
+
+// listReader returns the name of the instance that reads the list of servers for the others.
+func (sys *testSystem) listReader() string {
+	for name, prc := range sys.instances {
+		prc.dmn.mu.Lock()
+		first := prc.dmn.council != nil && prc.dmn.readersBefore() == 0
+		prc.dmn.mu.Unlock()
+		if first {
+			return name
+		}
+	}
+	return ""
+}
+
+// The instance that reads the list of servers for all is lost when a server says that it is leaving, and tasks go on starting there.
+func TestReaderOfTheListIsLost(t *testing.T) {
+	cases := map[string]func(sys *testSystem, reader string){
+		"nothing happens":                 func(*testSystem, string) {},
+		"it is killed":                    func(sys *testSystem, reader string) { sys.kill(reader) },
+		"it loses power":                  func(sys *testSystem, reader string) { sys.powerOff(reader) },
+		"the store turns it away":         func(sys *testSystem, reader string) { sys.net.Separate(sys.instances[reader].host, storeHost) },
+		"the list's history is dropped":   func(sys *testSystem, _ string) { sys.sto.Compact(string(platform.ServersTopic)) },
+		"the digests' history is dropped": func(sys *testSystem, _ string) { sys.sto.Compact(string(platform.ServerDigestsTopic)) },
+		"digests of nonsense are written": func(sys *testSystem, _ string) { sys.writeInvalidDigests() },
+		"a digest that jumps ahead is written": func(sys *testSystem, _ string) {
+			sys.sto.Put(string(platform.ServerDigestsTopic), platform.ServerDigestsKey, map[string]any{"by": "x", "from": 0, "to": 1 << 19})
+		},
+	}
+	for name, trouble := range cases {
+		t.Run(name, func(t *testing.T) {
+			inTestSystem(t, 2, 3, 3, func(sys *testSystem) {
+				chk := is.NewRelaxed(t)
+				sys.sendHeartbeats(3 * time.Second)
+				trouble(sys, sys.listReader())
+				sys.sendHeartbeats(100 * time.Millisecond)
+				sys.listServer("server-1-1", "domain-1", "draining")
+				sys.sendHeartbeatsExcept("server-1-1", 2*time.Second)
+				for _, prc := range sys.runningProcesses() {
+					prc.dmn.mu.Lock()
+					ent := prc.dmn.entries["server-1-1"]
+					prc.dmn.mu.Unlock()
+					chk.True(ent.Leaving || !sys.reachesStore(prc))
+				}
+				sys.net.Heal()
+				sys.sendHeartbeatsExcept("server-1-1", 4*time.Second)
+				before := sys.listReadCount()
+				sys.sendHeartbeatsExcept("server-1-1", 4*time.Second)
+				chk.True(sys.listReadCount()-before <= 2*10) // One or two read each 0.4 s.
+				job := jobSpec{id: jobID(1), tasks: 8, payload: payload{Millis: 100}}
+				chk.Equal(sys.send(sys.ctx, sys.runningProcesses()[0].name, job), http.StatusOK)
+			})
+		})
+	}
+}
+
+func (sys *testSystem) writeInvalidDigests() {
+	for _, val := range []any{"x", map[string]any{"by": "", "from": 9, "to": 3}, map[string]any{"by": "x", "from": -4, "to": 1 << 60}} {
+		sys.sto.Put(string(platform.ServerDigestsTopic), platform.ServerDigestsKey, val)
+	}
+}
+
+// runningProcesses returns the instances that were neither killed nor lost power.
+func (sys *testSystem) runningProcesses() []*process {
+	var prcs []*process
+	for _, name := range sys.instanceNames() {
+		if prc := sys.instances[name]; !prc.dmn.leaving.Load() {
+			prcs = append(prcs, prc)
+		}
+	}
+	return prcs
+}
+
+// reachesStore reports whether an instance reachesStore the store.
+func (sys *testSystem) reachesStore(prc *process) bool {
+	ctx, cancel := context.WithTimeout(sys.ctx, 100*time.Millisecond)
+	defer cancel()
+	con, err := sys.net.Dialer(prc.host)(ctx, "tcp", storeHost+":1")
+	if err == nil {
+		_ = con.Close() // Nothing was written.
+	}
+	return err == nil
+}
+
+func (sys *testSystem) listReadCount() int64 {
+	var num int64
+	for _, prc := range sys.instances {
+		num += prc.dmn.cnt.listReads.Load()
+	}
+	return num
+}
+
+// Of twelve instances of a failure domain only two watch a leader, and the others learn late that it has lost its power.
+func TestLeaderOfALargeDomainLosesPower(t *testing.T) {
+	inTestSystem(t, 2, 12, 24, func(sys *testSystem) {
+		chk := is.NewRelaxed(t)
+		time.Sleep(time.Second)
+		led := sys.leader("domain-1")
+		chk.True(led != "")
+		sys.powerOff(led)
+		time.Sleep(900 * time.Millisecond)
+		for _, prc := range sys.runningProcesses() {
+			if prc.domain != "domain-1" {
+				continue
+			}
+			prc.dmn.mu.Lock()
+			chk.True(!prc.dmn.council.Vacant("domain-1"))
+			for id := range prc.dmn.council.Others() {
+				chk.True(id != sys.instances[led].dmn.self)
+			}
+			prc.dmn.mu.Unlock()
+		}
+		began := time.Now()
+		for num := range 12 {
+			job := jobSpec{id: jobID(num), tasks: 6, payload: payload{Millis: 100}}
+			chk.Equal(sys.send(sys.ctx, fmt.Sprintf("entry-2-%d", num+1), job), http.StatusOK)
+		}
+		chk.True(time.Since(began) < 12*200*time.Millisecond)
+	})
+}
+
+// The store turns many instances of a large system away, a whole failure domain even, and most instances hear each other seldom.
+func TestConfigurationReachesManyThatAreTurnedAway(t *testing.T) {
+	cases := map[string]func(num int, prc *process) bool{
+		"a third of all":         func(num int, _ *process) bool { return num%3 == 0 },
+		"a whole failure domain": func(_ int, prc *process) bool { return prc.domain == "domain-2" },
+	}
+	for name, away := range cases {
+		t.Run(name, func(t *testing.T) {
+			inTestSystem(t, 3, 12, 2, func(sys *testSystem) {
+				chk := is.NewRelaxed(t)
+				time.Sleep(2 * time.Second)
+				for num, prc := range sys.runningProcesses() {
+					if away(num, prc) {
+						sys.net.Separate(prc.host, storeHost)
+					}
+				}
+				sys.publishRoutes("/thumb/", "/new/")
+				time.Sleep(2 * time.Second)
+				for at := range sys.instances {
+					chk.Equal(sys.queryQueue(at, "/new/"), http.StatusOK)
+				}
+			})
+		})
+	}
+}
--- a/internal/process/daemon/load_test.go
+++ b/internal/process/daemon/load_test.go
@@ -14,15 +14,15 @@
 // TestLoadOfManyJobs sends 100 jobs a second of three tasks for ten seconds; all are done in time. Run with
 // -cpuprofile it shows where the processor time of a start goes.
 func TestLoadOfManyJobs(t *testing.T) {
-	inWorld(t, 3, 2, 16, func(wld *world) {
+	inTestSystem(t, 3, 2, 16, func(sys *testSystem) {
 		const jobs = 1000
 		var inTime atomic.Int64
-		nms := wld.names()
+		nms := sys.instanceNames()
 		for num := range jobs {
 			job := jobSpec{id: jobID(num), tasks: 3, payload: payload{Millis: 200}}
-			wld.grp.Go(func() error {
+			sys.grp.Go(func() error {
 				began := time.Now()
-				if wld.send(wld.ctx, nms[num%len(nms)], job) == http.StatusOK && time.Since(began) < 300*time.Millisecond {
+				if sys.send(sys.ctx, nms[num%len(nms)], job) == http.StatusOK && time.Since(began) < 300*time.Millisecond {
 					inTime.Add(1)
 				}
 				return nil
@@ -51,14 +51,14 @@
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				playWith(t, &world{linkBytes: cse.linkBytes}, 2, 4, 36, func(wld *world) {
+				runTestSystemWith(t, &testSystem{linkBytes: cse.linkBytes}, 2, 4, 36, func(sys *testSystem) {
 					chk := is.NewRelaxed(t)
-					inTime, all := playPadded(wld, cse.perSecond, 5*time.Second)
+					inTime, all := sendPaddedJobs(sys, cse.perSecond, 5*time.Second)
 					t.Logf("%d of %d jobs in time", inTime, all)
 					chk.True(inTime*100 >= all*cse.least)
 					// After the load the system is what it was, for a load that the links carry with ease.
 					time.Sleep(2 * time.Second)
-					inTime, all = playPadded(wld, 8, 3*time.Second)
+					inTime, all = sendPaddedJobs(sys, 8, 3*time.Second)
 					t.Logf("%d of %d jobs in time afterwards", inTime, all)
 					chk.True(inTime*100 >= all*90)
 				})
@@ -68,19 +68,19 @@
 	}
 }
 
-// playPadded sends jobs of eight tasks of 60 ms with payloads of 2.4 KB at a rate, and returns how many were answered well
+// sendPaddedJobs sends jobs of eight tasks of 60 ms with payloads of 2.4 KB at a rate, and returns how many were answered well
 // within half a second, of how many.
-func playPadded(wld *world, perSecond int, dur time.Duration) (inTime, all int) {
+func sendPaddedJobs(sys *testSystem, perSecond int, dur time.Duration) (inTime, all int) {
 	var good atomic.Int64
-	nms := wld.names()
+	nms := sys.instanceNames()
 	pad := strings.Repeat("x", 2400)
 	for end := time.Now().Add(dur); time.Now().Before(end); all++ {
-		wld.lives++
-		job := jobSpec{id: jobID(wld.lives), tasks: 8, patience: 2 * time.Second, payload: payload{Millis: 60, Pad: pad}}
+		sys.lastNumber++
+		job := jobSpec{id: jobID(sys.lastNumber), tasks: 8, patience: 2 * time.Second, payload: payload{Millis: 60, Pad: pad}}
 		to := nms[all%len(nms)]
-		wld.grp.Go(func() error {
+		sys.grp.Go(func() error {
 			began := time.Now()
-			if wld.send(wld.ctx, to, job) == http.StatusOK && time.Since(began) < 500*time.Millisecond {
+			if sys.send(sys.ctx, to, job) == http.StatusOK && time.Since(began) < 500*time.Millisecond {
 				good.Add(1)
 			}
 			return nil
--- a/internal/process/daemon/way_test.go
+++ b/internal/process/daemon/one_way_test.go
@@ -23,34 +23,34 @@
 		for _, back := range []bool{false, true} {
 			for moment := time.Duration(0); moment < time.Second; moment += 250 * time.Millisecond {
 				t.Run(fmt.Sprintf("%s, back %t, after %v", name, back, moment), func(t *testing.T) {
-					inWorld(t, 3, 1, 2, func(wld *world) { cutOneWay(t, wld, moment, back, stall) })
+					inTestSystem(t, 3, 1, 2, func(sys *testSystem) { cutOneWay(t, sys, moment, back, stall) })
 				})
 			}
 		}
 	}
 }
 
-func cutOneWay(t *testing.T, wld *world, moment time.Duration, back bool, stall func(led, own *process) *process) {
+func cutOneWay(t *testing.T, sys *testSystem, moment time.Duration, back bool, stall func(led, own *process) *process) {
 	t.Helper()
-	led, own := wld.entries["entry-1-1"], wld.entries["entry-2-1"]
+	led, own := sys.instances["entry-1-1"], sys.instances["entry-2-1"]
 	from, to := own.host, led.host
 	if back {
 		from, to = to, from
 	}
 	// Four tasks fit in each domain, so that the owner sends some to the leader; some wait there.
-	full := wld.sendAsync(wld.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 4, payload: payload{Millis: 700}})
+	full := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 4, payload: payload{Millis: 700}})
 	job := jobSpec{id: jobID(2), tasks: 12, payload: payload{Millis: 900}}
-	snt := wld.sendAsync(wld.ctx, "entry-2-1", job)
+	snt := sys.sendAsync(sys.ctx, "entry-2-1", job)
 	time.Sleep(moment)
-	if prc := stall(led, own); prc != nil && prc.stand() {
-		wld.grp.Go(func() error {
-			wld.stall(prc, time.Second)
+	if prc := stall(led, own); prc != nil && prc.stopClock() {
+		sys.grp.Go(func() error {
+			sys.pauseProcess(prc, time.Second)
 			return nil
 		})
 	}
-	wld.net.CutWay(from, to)
+	sys.net.CutWay(from, to)
 	time.Sleep(2 * time.Second)
-	wld.net.MendWay(from, to)
+	sys.net.MendWay(from, to)
 	<-full.done
 	<-snt.done
 	status := snt.status
@@ -59,7 +59,7 @@
 			return
 		}
 		time.Sleep(1300 * time.Millisecond)
-		status = wld.send(wld.ctx, "entry-3-1", job)
+		status = sys.send(sys.ctx, "entry-3-1", job)
 	}
 	if status != http.StatusOK {
 		t.Errorf("the job ends with %d", status)
--- a/internal/process/daemon/drawn_test.go
+++ b/internal/process/daemon/random_deployments_test.go
@@ -12,7 +12,7 @@
 
 // deployment is a system that nobody has listed, and its load.
 type deployment struct {
-	domains, entries, servers int
+	domains, instances, servers int
 	sizes                     []int64
 	linkBytes                 int
 	kinds                     []jobSpec
@@ -20,10 +20,10 @@
 	gap time.Duration
 }
 
-// draw makes a deployment of two to eight failure domains with one to four instances each, servers of one to three sizes and
+// randomDeployment makes a deployment of two to eight failure domains with one to four instances each, servers of one to three sizes and
 // two to four kinds of jobs: of 1 to 120 tasks that take 5 to 2,000 ms on 1 to 30 cores, with payloads of up to 4 KB.
-func draw(rnd *rand.Rand) deployment {
-	dpl := deployment{domains: 2 + rnd.IntN(7), entries: 1 + rnd.IntN(4), servers: 4 + rnd.IntN(24)}
+func randomDeployment(rnd *rand.Rand) deployment {
+	dpl := deployment{domains: 2 + rnd.IntN(7), instances: 1 + rnd.IntN(4), servers: 4 + rnd.IntN(24)}
 	for range 1 + rnd.IntN(3) {
 		dpl.sizes = append(dpl.sizes, 32000+16000*rnd.Int64N(4))
 	}
@@ -47,55 +47,55 @@
 	mean := float64(len(dpl.kinds))
 	millis := work / mean / (0.4 * float64(pool))
 	if dpl.linkBytes > 0 {
-		millis = max(millis, 1000*bytes/mean/(0.3*float64(dpl.linkBytes*dpl.domains*dpl.entries)))
+		millis = max(millis, 1000*bytes/mean/(0.3*float64(dpl.linkBytes*dpl.domains*dpl.instances)))
 	}
 	dpl.gap = max(time.Duration(millis*float64(time.Millisecond)), 4*time.Millisecond)
 	return dpl
 }
 
-// TestDrawnDeployments plays deployments drawn at random under load, while an instance loses its power and starts again. No server
+// TestRandomDeployments plays deployments drawn at random under load, while an instance loses its power and starts again. No server
 // is overfull, no task runs twice at once, no refused job has started, and nearly all callers are served: what is
 // decided by what is observed must hold for systems that nobody had in mind.
-func TestDrawnDeployments(t *testing.T) {
+func TestRandomDeployments(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 			rnd := rand.New(rand.NewPCG(seed, 2))
-			dpl := draw(rnd)
+			dpl := randomDeployment(rnd)
 			synctest.Test(t, func(t *testing.T) {
-				wld := &world{linkBytes: dpl.linkBytes, sizes: dpl.sizes}
-				playWith(t, wld, dpl.domains, dpl.entries, dpl.servers, func(wld *world) { playDrawn(wld, rnd, dpl) })
+				sys := &testSystem{linkBytes: dpl.linkBytes, serverSizes: dpl.sizes}
+				runTestSystemWith(t, sys, dpl.domains, dpl.instances, dpl.servers, func(sys *testSystem) { runDeployment(sys, rnd, dpl) })
 				time.Sleep(20 * time.Second)
 			})
 		})
 	}
 }
 
-func playDrawn(wld *world, rnd *rand.Rand, dpl deployment) {
+func runDeployment(sys *testSystem, rnd *rand.Rand, dpl deployment) {
 	const (
 		lasts = 6 * time.Second
 		lost  = 2 * time.Second
 		back  = 3 * time.Second
 	)
-	victim := wld.names()[rnd.IntN(len(wld.names()))]
-	var all []*sent
+	victim := sys.instanceNames()[rnd.IntN(len(sys.instanceNames()))]
+	var all []*sentJob
 	var jobs []jobSpec
 	down, up := false, false
 	for began := time.Now(); time.Since(began) < lasts; {
 		switch {
 		case !down && time.Since(began) > lost:
-			wld.powerOff(victim)
+			sys.powerOff(victim)
 			down = true
 		case !up && time.Since(began) > back:
-			wld.startEntry(victim, wld.entries[victim].domain)
+			sys.startInstance(victim, sys.instances[victim].domain)
 			up = true
 		}
-		to := wld.anyEntry(rnd)
+		to := sys.randomInstance(rnd)
 		if to == victim && !up && time.Since(began) > lost-time.Second {
 			continue // It is about to lose its power, or has.
 		}
 		job := dpl.kinds[rnd.IntN(len(dpl.kinds))]
 		job.id = jobID(len(all) + 1)
-		all, jobs = append(all, wld.sendAsync(wld.ctx, to, job)), append(jobs, job)
+		all, jobs = append(all, sys.sendAsync(sys.ctx, to, job)), append(jobs, job)
 		time.Sleep(dpl.gap)
 	}
 	served, refused := 0, 0
@@ -107,14 +107,14 @@
 		case http.StatusServiceUnavailable:
 			refused++
 			for num := range jobs[idx].tasks {
-				if wld.ldg.Starts(fmt.Sprintf("%s.0.0.%d", jobs[idx].id, num)) > 0 {
-					wld.t.Errorf("job %s was refused as not run and has started", jobs[idx].id)
+				if sys.ldg.Starts(fmt.Sprintf("%s.0.0.%d", jobs[idx].id, num)) > 0 {
+					sys.t.Errorf("job %s was refused as not run and has started", jobs[idx].id)
 				}
 			}
 		}
 	}
-	wld.t.Logf("%d jobs, %d served, %d refused", len(all), served, refused)
+	sys.t.Logf("%d jobs, %d served, %d refused", len(all), served, refused)
 	if served*100 < len(all)*95 {
-		wld.t.Errorf("%d of %d jobs served", served, len(all))
+		sys.t.Errorf("%d of %d jobs served", served, len(all))
 	}
 }
--- a/internal/process/daemon/random_test.go
+++ b/internal/process/daemon/random_test.go
@@ -19,118 +19,118 @@
 	// address until its callers' deadlines (25 of 150 plays of this seed).
 	seeds = append(seeds, 225)
 	for _, seed := range seeds {
-		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { playRandomTroubles(t, seed) })
+		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { runRandomFaults(t, seed) })
 	}
 }
 
-func playRandomTroubles(t *testing.T, seed uint64) {
+func runRandomFaults(t *testing.T, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	inWorld(t, 3, 2, 3, func(wld *world) {
-		var all []*sent
-		ids := map[*sent]string{}
+	inTestSystem(t, 3, 2, 3, func(sys *testSystem) {
+		var all []*sentJob
+		ids := map[*sentJob]string{}
 		for step := range 60 {
 			for range 1 + rnd.IntN(3) {
 				job := jobSpec{
 					id: jobID(len(all) + 1), tasks: 1 + rnd.IntN(6), path: []string{"/thumb/", "/deck/"}[rnd.IntN(2)],
 					payload: payload{Millis: 50 + rnd.IntN(800)}, patience: 3 * time.Second,
 				}
-				snt := wld.sendAsync(wld.ctx, wld.anyEntry(rnd), job)
+				snt := sys.sendAsync(sys.ctx, sys.randomInstance(rnd), job)
 				ids[snt] = job.id
 				all = append(all, snt)
 			}
 			if step%5 == 4 && step < 45 {
-				wld.trouble(rnd)
+				sys.injectRandomFault(rnd)
 			}
 			time.Sleep(time.Duration(50+rnd.IntN(150)) * time.Millisecond)
 		}
-		wld.sto.SetDown(false)
-		wld.heal()
-		wld.revive()
+		sys.sto.SetDown(false)
+		sys.heal()
+		sys.restartEnded()
 		time.Sleep(6 * time.Second)
 		for _, snt := range all {
 			<-snt.done
-			if snt.status == http.StatusServiceUnavailable && wld.startsOf(ids[snt]) > 0 {
+			if snt.status == http.StatusServiceUnavailable && sys.taskStarts(ids[snt]) > 0 {
 				t.Errorf("job %s was refused as not run and has started", ids[snt])
 			}
 		}
 		for num := range 6 {
-			to := wld.anyEntry(rnd)
+			to := sys.randomInstance(rnd)
 			job := jobSpec{id: jobID(9000 + num), tasks: 4, payload: payload{Millis: 100}}
-			if status, body := wld.call(wld.ctx, to, job); status != http.StatusOK {
+			if status, body := sys.call(sys.ctx, to, job); status != http.StatusOK {
 				t.Errorf("after the troubles %s answers %d %s", to, status, body)
 			}
 		}
 	})
 }
 
-func (wld *world) startsOf(id string) int {
+func (sys *testSystem) taskStarts(id string) int {
 	num := 0
 	for idx := range 6 {
-		num += wld.ldg.Starts(fmt.Sprintf("%s.0.0.%d", id, idx))
+		num += sys.ldg.Starts(fmt.Sprintf("%s.0.0.%d", id, idx))
 	}
 	return num
 }
 
-func (wld *world) names() []string {
+func (sys *testSystem) instanceNames() []string {
 	var nms []string
-	for name := range wld.entries {
+	for name := range sys.instances {
 		nms = append(nms, name)
 	}
 	slices.Sort(nms)
 	return nms
 }
 
-func (wld *world) anyEntry(rnd *rand.Rand) string {
-	nms := wld.names()
+func (sys *testSystem) randomInstance(rnd *rand.Rand) string {
+	nms := sys.instanceNames()
 	return nms[rnd.IntN(len(nms))]
 }
 
-// revive starts the next life of every instance that has ended.
-func (wld *world) revive() {
-	for _, name := range wld.names() {
-		prc := wld.entries[name]
+// restartEnded starts the next life of every instance that has ended.
+func (sys *testSystem) restartEnded() {
+	for _, name := range sys.instanceNames() {
+		prc := sys.instances[name]
 		if !prc.ended {
 			continue
 		}
-		if !prc.dark {
+		if !prc.poweredOff {
 			<-prc.done // A machine starts a process when the former has ended.
 		}
-		next := wld.startEntry(name, prc.domain)
-		if prc.dark {
-			wld.net.Separate(prc.host, next.host)
+		next := sys.startInstance(name, prc.domain)
+		if prc.poweredOff {
+			sys.net.Separate(prc.host, next.host)
 		}
 	}
 }
 
-func (wld *world) trouble(rnd *rand.Rand) {
-	name := wld.anyEntry(rnd)
+func (sys *testSystem) injectRandomFault(rnd *rand.Rand) {
+	name := sys.randomInstance(rnd)
 	switch rnd.IntN(8) {
 	case 0:
-		wld.powerOff(name)
-		wld.entries[name].ended = true
+		sys.powerOff(name)
+		sys.instances[name].ended = true
 	case 1:
-		wld.entries[name].stop()
-		wld.entries[name].ended = true
+		sys.instances[name].stop()
+		sys.instances[name].ended = true
 	case 2:
-		wld.cut(domainName(rnd.IntN(3)))
+		sys.cut(domainName(rnd.IntN(3)))
 	case 3:
-		wld.heal()
+		sys.heal()
 	case 4:
-		for _, oth := range wld.hosts() {
-			wld.net.Forget(wld.entries[name].host, oth)
+		for _, oth := range sys.hosts() {
+			sys.net.Forget(sys.instances[name].host, oth)
 		}
 	case 5:
-		wld.sto.SetDown(rnd.IntN(2) == 0)
+		sys.sto.SetDown(rnd.IntN(2) == 0)
 	case 6:
 		id := fmt.Sprintf("server-%d-%d", 1+rnd.IntN(3), 1+rnd.IntN(3))
 		num, late := 1+rnd.IntN(4), time.Duration(rnd.IntN(4000))*time.Millisecond
-		if srv := wld.servers[id]; srv != nil {
+		if srv := sys.servers[id]; srv != nil {
 			srv.LoseAnswers(num, late)
 		}
 	case 7:
-		wld.entries[name].freeze(time.Duration(rnd.IntN(4000)) * time.Millisecond)
+		sys.instances[name].addSuspension(time.Duration(rnd.IntN(4000)) * time.Millisecond)
 	}
 	if rnd.IntN(3) == 0 {
-		wld.revive()
+		sys.restartEnded()
 	}
 }
--- a/internal/process/daemon/reach_story_test.go
+++ b/internal/process/daemon/reach_test.go
@@ -15,26 +15,26 @@
 func TestCutOffDomainKeepsItsLeader(t *testing.T) {
 	for back := 500 * time.Millisecond; back <= 2500*time.Millisecond; back += 50 * time.Millisecond {
 		t.Run(fmt.Sprint("its instance is back after ", back), func(t *testing.T) {
-			inWorld(t, 3, 1, 3, func(wld *world) {
+			inTestSystem(t, 3, 1, 3, func(sys *testSystem) {
 				chk := is.NewRelaxed(t)
-				wld.powerOff("entry-2-1")
+				sys.powerOff("entry-2-1")
 				time.Sleep(back)
-				wld.startEntry("entry-2-1", "domain-2")
+				sys.startInstance("entry-2-1", "domain-2")
 				time.Sleep(5 * time.Second)
-				chk.Equal(wld.leader("domain-2"), "entry-2-1")
-				before := foreignTakeOvers(wld, "domain-2")
-				wld.cut("domain-2")
+				chk.Equal(sys.leader("domain-2"), "entry-2-1")
+				before := foreignTakeovers(sys, "domain-2")
+				sys.cut("domain-2")
 				time.Sleep(5 * time.Second)
-				chk.Equal(foreignTakeOvers(wld, "domain-2"), before)
+				chk.Equal(foreignTakeovers(sys, "domain-2"), before)
 			})
 		})
 	}
 }
 
-// foreignTakeOvers returns how often instances outside of a failure domain have taken a shard of it over.
-func foreignTakeOvers(wld *world, domain string) int {
+// foreignTakeovers returns how often instances outside of a failure domain have taken a shard of it over.
+func foreignTakeovers(sys *testSystem, domain string) int {
 	num := 0
-	for line := range strings.Lines(wld.logged()) {
+	for line := range strings.Lines(sys.logText()) {
 		if strings.Contains(line, "taking the shard over") && strings.Contains(line, `"shard":"`+domain+`.`) &&
 			!strings.Contains(line, `"instance":"entry-`+strings.TrimPrefix(domain, "domain-")) {
 			num++
@@ -48,29 +48,29 @@
 func TestOutsiderThatNoServerObeys(t *testing.T) {
 	for end := 200 * time.Millisecond; end <= 1200*time.Millisecond; end += 100 * time.Millisecond {
 		t.Run(fmt.Sprint("the cut ends after ", end), func(t *testing.T) {
-			inWorld(t, 3, 1, 3, func(wld *world) { outsiderLeads(t, wld, end) })
+			inTestSystem(t, 3, 1, 3, func(sys *testSystem) { runForeignLeader(t, sys, end) })
 		})
 	}
 }
 
-// outsiderLeads plays a cut that ends so long after the start of four tasks.
-func outsiderLeads(t *testing.T, wld *world, end time.Duration) {
+// runForeignLeader plays a cut that ends so long after the start of four tasks.
+func runForeignLeader(t *testing.T, sys *testSystem, end time.Duration) {
 	t.Helper()
 	chk := is.NewRelaxed(t)
-	wld.cut("domain-2")
+	sys.cut("domain-2")
 	time.Sleep(time.Second)
-	dmn := wld.entries["entry-1-1"].dmn
+	dmn := sys.instances["entry-1-1"].dmn
 	now := dmn.enter()
 	dmn.takeOver(now, "domain-2.0")
 	dmn.exit(now)
 	time.Sleep(3 * time.Second)
-	snt := wld.sendAsync(wld.ctx, "entry-2-1", jobSpec{id: jobID(1), tasks: 4, payload: payload{Millis: 2000}})
+	snt := sys.sendAsync(sys.ctx, "entry-2-1", jobSpec{id: jobID(1), tasks: 4, payload: payload{Millis: 2000}})
 	time.Sleep(end)
-	chk.Equal(wld.ldg.Running(), 4)
-	wld.heal()
+	chk.Equal(sys.ldg.Running(), 4)
+	sys.heal()
 	<-snt.done
 	chk.Equal(snt.status, http.StatusOK)
 	for num := range 4 {
-		chk.Equal(wld.ldg.Starts(fmt.Sprintf("%s.0.0.%d", jobID(1), num)), 1)
+		chk.Equal(sys.ldg.Starts(fmt.Sprintf("%s.0.0.%d", jobID(1), num)), 1)
 	}
 }
--- a/internal/process/daemon/stall_test.go
+++ b/internal/process/daemon/stall_test.go
@@ -15,27 +15,27 @@
 // it gave them back as not run ("report" "not-run" at the time of the order that "followed").
 func TestStalledProcesses(t *testing.T) {
 	for _, seed := range []uint64{0, 1, 53, 206} {
-		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { playStalls(t, seed) })
+		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { runProcessPauses(t, seed) })
 	}
 }
 
-func playStalls(t *testing.T, seed uint64) {
+func runProcessPauses(t *testing.T, seed uint64) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	inWorld(t, 2+rnd.IntN(2), 1+rnd.IntN(3), 2+rnd.IntN(3), func(wld *world) {
-		var all []*sent
+	inTestSystem(t, 2+rnd.IntN(2), 1+rnd.IntN(3), 2+rnd.IntN(3), func(sys *testSystem) {
+		var all []*sentJob
 		for step := range 40 {
 			for range 1 + rnd.IntN(4) {
 				job := jobSpec{
 					id: jobID(len(all) + 1), tasks: 1 + rnd.IntN(8), path: []string{"/thumb/", "/deck/"}[rnd.IntN(2)],
 					payload: payload{Millis: 50 + rnd.IntN(1500)}, patience: 4 * time.Second,
 				}
-				all = append(all, wld.sendAsync(wld.ctx, wld.anyEntry(rnd), job))
+				all = append(all, sys.sendAsync(sys.ctx, sys.randomInstance(rnd), job))
 			}
 			if step%4 == 3 && step < 36 {
-				wld.stallAny(rnd)
+				sys.pauseRandomProcess(rnd)
 				if rnd.IntN(3) == 0 {
-					wld.stallAny(rnd)
+					sys.pauseRandomProcess(rnd)
 				}
 			}
 			time.Sleep(time.Duration(50+rnd.IntN(200)) * time.Millisecond)
@@ -47,16 +47,16 @@
 	})
 }
 
-// stallAny stands a process still for a while, if it does not stand still already.
-func (wld *world) stallAny(rnd *rand.Rand) {
-	name := wld.anyEntry(rnd)
+// pauseRandomProcess stands a process still for a while, if it does not stand still already.
+func (sys *testSystem) pauseRandomProcess(rnd *rand.Rand) {
+	name := sys.randomInstance(rnd)
 	dur := time.Duration(50+rnd.IntN(2500)) * time.Millisecond
-	prc := wld.entries[name]
-	if prc.ended || !prc.stand() {
+	prc := sys.instances[name]
+	if prc.ended || !prc.stopClock() {
 		return
 	}
-	wld.grp.Go(func() error {
-		wld.stall(prc, dur)
+	sys.grp.Go(func() error {
+		sys.pauseProcess(prc, dur)
 		return nil
 	})
 }
@@ -70,14 +70,14 @@
 // knew the server where the task had run last, and gave it back as not run.
 func TestStalledAmongTroubles(t *testing.T) {
 	for _, seed := range []uint64{0, 1, 126, 211} {
-		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { playStallsAndTroubles(t, seed) })
+		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { runPausesAndFaults(t, seed) })
 	}
 }
 
-func playStallsAndTroubles(t *testing.T, seed uint64) {
+func runPausesAndFaults(t *testing.T, seed uint64) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 9))
-	inWorld(t, 2+rnd.IntN(2), 1+rnd.IntN(3), 2+rnd.IntN(3), func(wld *world) {
+	inTestSystem(t, 2+rnd.IntN(2), 1+rnd.IntN(3), 2+rnd.IntN(3), func(sys *testSystem) {
 		// turn is held by whoever reads or changes the instances.
 		turn := make(chan struct{}, 1)
 		inTurn := func(do func()) {
@@ -93,21 +93,21 @@
 						id: jobID(len(all) + 1), tasks: 1 + rnd.IntN(8), path: []string{"/thumb/", "/deck/"}[rnd.IntN(2)],
 						payload: payload{Millis: 50 + rnd.IntN(1500)}, patience: 4 * time.Second,
 					}
-					all = append(all, wld.sendUntilAnswered(rnd, inTurn, job))
+					all = append(all, sys.sendUntilAnswered(rnd, inTurn, job))
 				}
 				switch {
 				case step%4 != 3 || step > 42:
 				case rnd.IntN(2) == 0:
-					wld.stallAny(rnd)
+					sys.pauseRandomProcess(rnd)
 				default:
-					wld.trouble(rnd)
+					sys.injectRandomFault(rnd)
 				}
 			})
 			time.Sleep(time.Duration(50+rnd.IntN(200)) * time.Millisecond)
 		}
-		wld.sto.SetDown(false)
-		wld.heal()
-		inTurn(wld.revive)
+		sys.sto.SetDown(false)
+		sys.heal()
+		inTurn(sys.restartEnded)
 		for _, done := range all {
 			<-done
 		}
@@ -117,27 +117,27 @@
 
 // sendUntilAnswered sends a job, and after each try without an answer again to another instance. Some callers break their first
 // connection early.
-func (wld *world) sendUntilAnswered(rnd *rand.Rand, inTurn func(func()), job jobSpec) chan struct{} {
+func (sys *testSystem) sendUntilAnswered(rnd *rand.Rand, inTurn func(func()), job jobSpec) chan struct{} {
 	const tries = 4
 	var names [tries]string
 	for idx := range names {
-		names[idx] = wld.anyEntry(rnd)
+		names[idx] = sys.randomInstance(rnd)
 	}
 	first := job
 	if rnd.IntN(6) == 0 {
 		first.patience = time.Duration(1+rnd.IntN(600)) * time.Millisecond
 	}
-	host, done := wld.entries[names[0]].host, make(chan struct{})
-	wld.grp.Go(func() error {
+	host, done := sys.instances[names[0]].host, make(chan struct{})
+	sys.grp.Go(func() error {
 		defer close(done)
-		status, _ := wld.callHost(wld.ctx, host, first)
+		status, _ := sys.callHost(sys.ctx, host, first)
 		for _, name := range names[1:] {
-			if status == http.StatusOK || status == http.StatusServiceUnavailable || wld.ctx.Err() != nil {
+			if status == http.StatusOK || status == http.StatusServiceUnavailable || sys.ctx.Err() != nil {
 				break
 			}
 			time.Sleep(1300 * time.Millisecond)
-			inTurn(func() { host = wld.entries[name].host })
-			status, _ = wld.callHost(wld.ctx, host, job)
+			inTurn(func() { host = sys.instances[name].host })
+			status, _ = sys.callHost(sys.ctx, host, job)
 		}
 		return nil
 	})
--- /dev/null
+++ b/internal/process/daemon/system_test.go
@@ -0,0 +1,393 @@
+package daemon
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rs/zerolog"
+	"golang.org/x/sync/errgroup"
+
+	"chestnutstack/internal/connection/rpc"
+	"chestnutstack/internal/process/pipe"
+	"chestnutstack/platform"
+	"chestnutstack/platform/standin"
+)
+
+// testSystem is a whole system in virtual time: real daemons and stand-ins, joined by pipes.
+type testSystem struct {
+	t       testing.TB
+	net     *pipe.Network
+	grp     *errgroup.Group
+	ctx     context.Context //nolint:containedctx // the life of the test's processes
+	sto     *standin.Store
+	ldg     *standin.Ledger
+	servers map[string]*standin.Server
+	instances map[string]*process
+	// formerProcesses are earlier lives.
+	formerProcesses  []*process
+	configVersion int
+	lastNumber   int
+	// linkBytes is what the link of each instance carries a second; 0 for no bound.
+	linkBytes int
+	// domains are the failure domains that settings name.
+	domains []string
+	// serverSizes are those of the servers in turn; serverProcessor if there are none.
+	serverSizes []int64
+
+	mu  sync.Mutex
+	log bytes.Buffer
+}
+
+// process is a daemon that can be stopped, killed or frozen.
+type process struct {
+	name, host, domain string
+	stop               context.CancelFunc
+	done               chan struct{}
+	dmn                *Daemon
+	// ended is set once the process was stopped or lost its power.
+	ended bool
+	// poweredOff is set once its machine has lost its power.
+	poweredOff bool
+	mu   sync.Mutex
+	// suspendedFor is how long the process was frozen, by the clock that counts such time.
+	suspendedFor time.Duration
+	// pausedSince is since when the process stands still, for want of processor.
+	pausedSince time.Time
+}
+
+func (prc *process) now() time.Time {
+	prc.mu.Lock()
+	defer prc.mu.Unlock()
+	if !prc.pausedSince.IsZero() {
+		return prc.pausedSince.Add(prc.suspendedFor)
+	}
+	return time.Now().Add(prc.suspendedFor)
+}
+
+func (prc *process) suspended() time.Duration {
+	prc.mu.Lock()
+	defer prc.mu.Unlock()
+	return prc.suspendedFor
+}
+
+const (
+	serverProcessor = 32000
+	taskProcessor   = 14000
+	serverMemory    = 131072
+	clientHost      = "client"
+	storeHost       = "store"
+	service         = "render"
+)
+
+// payload is what the tasks of a test say of themselves.
+type payload struct {
+	Millis int
+	Fails  bool
+	Stalls string
+	// Pad makes the payload as large as callers' are.
+	Pad string
+	// Needs is what a task takes of a server, in thousandths of a core; taskProcessor if it is 0.
+	Needs int64
+}
+
+func (pld *payload) processor() int64 {
+	if pld.Needs > 0 {
+		return pld.Needs
+	}
+	return taskProcessor
+}
+
+// inTestSystem runs a test in virtual time, with a number of entry instances and of backend servers in each of some
+// failure domains, and checks at its end that no promise was broken.
+func inTestSystem(t *testing.T, domains, instances, servers int, body func(sys *testSystem)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		runTestSystem(t, domains, instances, servers, body)
+		time.Sleep(20 * time.Second) // Timers of stand-ins run out.
+	})
+}
+
+// runTestSystem is inWorld in the time that the test has.
+func runTestSystem(t testing.TB, domains, instances, servers int, body func(sys *testSystem)) {
+	t.Helper()
+	runTestSystemWith(t, &testSystem{}, domains, instances, servers, body)
+}
+
+// runTestSystemWith is playInWorld in a world that the test has given its properties.
+func runTestSystemWith(t testing.TB, sys *testSystem, domains, instances, servers int, body func(sys *testSystem)) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	sys.t, sys.net, sys.grp, sys.ctx = t, pipe.New(), &errgroup.Group{}, ctx
+	sys.sto, sys.ldg = standin.NewStore(), standin.NewLedger()
+	sys.servers, sys.instances = map[string]*standin.Server{}, map[string]*process{}
+	sys.serve(storeHost+":1", sys.sto)
+	sys.publishRoutes("/thumb/", "/deck/")
+	for dom := range domains {
+		sys.domains = append(sys.domains, domainName(dom))
+	}
+	for dom := range domains {
+		for num := range servers {
+			sys.startServer(fmt.Sprintf("server-%d-%d", dom+1, num+1), domainName(dom))
+		}
+		for num := range instances {
+			sys.startInstance(fmt.Sprintf("entry-%d-%d", dom+1, num+1), domainName(dom))
+		}
+	}
+	time.Sleep(2 * time.Second)
+	body(sys)
+	for _, prc := range sys.instances {
+		prc.stop()
+	}
+	for _, prc := range sys.instances {
+		<-prc.done
+	}
+	for _, prc := range sys.formerProcesses {
+		<-prc.done
+	}
+	cancel()
+	for _, srv := range sys.servers {
+		srv.Close()
+	}
+	sys.net.Close()
+	if err := sys.grp.Wait(); err != nil {
+		t.Errorf("processes: %v", err)
+	}
+	for _, brk := range sys.ldg.Broken() {
+		t.Errorf("broken promise: %s", brk)
+	}
+	if testing.Verbose() {
+		t.Log(sys.logText())
+	}
+}
+
+func domainName(num int) string { return fmt.Sprintf("domain-%d", num+1) }
+
+func (sys *testSystem) serve(addr string, hdl http.Handler) *http.Server {
+	srv := &http.Server{Handler: hdl, ReadHeaderTimeout: time.Minute}
+	lis := sys.net.Listen(addr)
+	sys.grp.Go(func() error {
+		_ = srv.Serve(lis) // It ends with the listener.
+		return nil
+	})
+	sys.grp.Go(func() error {
+		<-sys.ctx.Done()
+		return srv.Close()
+	})
+	return srv
+}
+
+// publishRoutes publishes a configuration with just these prefixes.
+func (sys *testSystem) publishRoutes(prefixes ...string) {
+	sys.configVersion++
+	rts := []standin.Route{}
+	for num, pfx := range prefixes {
+		rts = append(rts, standin.Route{
+			Prefix: pfx, Service: service, Attempts: 3, Priority: num, Target: 60 * time.Millisecond, Stretch: 1.6,
+		})
+	}
+	sys.sto.Configure(sys.configVersion, rts)
+}
+
+func (sys *testSystem) startServer(id, domain string) {
+	size := int64(serverProcessor)
+	if len(sys.serverSizes) > 0 {
+		size = sys.serverSizes[len(sys.servers)%len(sys.serverSizes)]
+	}
+	srv := standin.NewServer(id, size, serverMemory, sys.ldg, func(text string) standin.Work {
+		var pld payload
+		if err := json.Unmarshal([]byte(text), &pld); err != nil {
+			sys.t.Errorf("payload: %v", err)
+		}
+		return standin.Work{
+			Takes: time.Duration(pld.Millis) * time.Millisecond, Fails: pld.Fails, Stands: pld.Stalls == id,
+			Processor: pld.processor(), Memory: 64,
+		}
+	})
+	sys.servers[id] = srv
+	sys.serve(id+":1", srv)
+	sys.listServer(id, domain, "ready")
+}
+
+func (sys *testSystem) listServer(id, domain, state string) {
+	sys.sto.List(sys.servers[id], service, id+":1", domain, state == "draining")
+}
+
+// startInstance starts a process on a machine of its own; the same name again is its next life.
+func (sys *testSystem) startInstance(name, domain string) *process {
+	sys.lastNumber++
+	host := fmt.Sprintf("%s-life-%d", name, sys.lastNumber)
+	if sys.linkBytes > 0 {
+		sys.net.Narrow(host, sys.linkBytes)
+	}
+	ctx, stop := context.WithCancel(sys.ctx)
+	prc := &process{name: name, host: host, domain: domain, stop: stop, done: make(chan struct{})}
+	if old := sys.instances[name]; old != nil {
+		sys.formerProcesses = append(sys.formerProcesses, old)
+	}
+	sys.instances[name] = prc
+	cnt := &counters{}
+	client := func(way *rpc.Counters) *http.Client {
+		return &http.Client{Transport: &http.Transport{DialContext: counted(sys.net.Dialer(host), way)}}
+	}
+	prc.dmn = New(Params{
+		Settings: platform.Settings{
+			Instance: name, FailureDomain: domain, FailureDomains: sys.domains, CallerAddress: host + ":1", ReadyAddress: host + ":2",
+			PeerAddress: host + ":3", MetricsAddress: host + ":4", Processor: 0.4,
+			StopTimeout: 6 * time.Second, MemoryBytes: 1 << 28, LinkBytes: int64(sys.linkBytes),
+		},
+		Store:   platform.NewStore(client(&cnt.traffic.store), storeHost+":1"),
+		Servers: platform.NewServers(client(&cnt.traffic.servers)), Counters: cnt,
+		Dial: sys.net.Dialer(host), Now: prc.now, Suspended: prc.suspended, Log: zerolog.New(sys).With().Str("instance", name).Logger(),
+	})
+	lis := Listeners{
+		Callers: sys.net.Listen(host + ":1"), Ready: sys.net.Listen(host + ":2"),
+		Peers: sys.net.Listen(host + ":3"), Metrics: sys.net.Listen(host + ":4"),
+	}
+	sys.grp.Go(func() error {
+		defer close(prc.done)
+		return prc.dmn.Run(ctx, lis)
+	})
+	return prc
+}
+
+// powerOff ends a process as the loss of its machine's power does.
+func (sys *testSystem) powerOff(name string) {
+	prc := sys.instances[name]
+	sys.net.Isolate(prc.host)
+	prc.poweredOff = true
+	sys.separateFromAll(prc)
+	prc.stop()
+}
+
+// kill ends a process as SIGKILL does: its machine closes its connections and refuses new ones.
+func (sys *testSystem) kill(name string) {
+	prc := sys.instances[name]
+	sys.net.Isolate(prc.host)
+	sys.net.Drop(prc.host)
+	prc.stop()
+}
+
+func (sys *testSystem) separateFromAll(prc *process) {
+	for _, oth := range sys.hosts() {
+		sys.net.Separate(prc.host, oth)
+	}
+}
+
+// heal ends all cuts; machines without power stay dark.
+func (sys *testSystem) heal() {
+	sys.net.Heal()
+	for _, prc := range sys.formerProcesses {
+		if prc.poweredOff {
+			sys.separateFromAll(prc)
+		}
+	}
+	for _, prc := range sys.instances {
+		if prc.poweredOff {
+			sys.separateFromAll(prc)
+		}
+	}
+}
+
+// hosts returns all machines.
+func (sys *testSystem) hosts() []string {
+	hsts := []string{storeHost, clientHost}
+	for _, prc := range sys.instances {
+		hsts = append(hsts, prc.host)
+	}
+	for id := range sys.servers {
+		hsts = append(hsts, id)
+	}
+	return hsts
+}
+
+// addSuspension makes a process see that its machine was suspended.
+func (prc *process) addSuspension(dur time.Duration) {
+	prc.mu.Lock()
+	defer prc.mu.Unlock()
+	prc.suspendedFor += dur
+}
+
+// pauseProcess makes a process that has come to stand get no processor for a while: it sees no time pass and hears nobody, and then
+// everything at once.
+func (sys *testSystem) pauseProcess(prc *process, dur time.Duration) {
+	sys.net.Stall(prc.host)
+	time.Sleep(dur)
+	prc.resumeClock()
+	sys.net.Resume(prc.host)
+}
+
+// stopClock stops the process's clock and reports whether it went until now.
+func (prc *process) stopClock() bool {
+	prc.mu.Lock()
+	defer prc.mu.Unlock()
+	went := prc.pausedSince.IsZero()
+	if went {
+		prc.pausedSince = time.Now()
+	}
+	return went
+}
+
+func (prc *process) resumeClock() {
+	prc.mu.Lock()
+	defer prc.mu.Unlock()
+	prc.pausedSince = time.Time{}
+}
+
+// cut separates a failure domain from the others and the store; its clients and servers still reach it.
+func (sys *testSystem) cut(domain string) {
+	for _, prc := range sys.instances {
+		if prc.domain != domain {
+			continue
+		}
+		sys.net.Separate(prc.host, storeHost)
+		for _, oth := range sys.instances {
+			if oth.domain != domain {
+				sys.net.Separate(prc.host, oth.host)
+			}
+		}
+	}
+	for id := range sys.servers {
+		for _, prc := range sys.instances {
+			if strings.HasPrefix(id, "server-"+strings.TrimPrefix(domain, "domain-")) != (prc.domain == domain) {
+				sys.net.Separate(prc.host, id)
+			}
+		}
+	}
+}
+
+// Write implements io.Writer for the logs of all processes.
+func (sys *testSystem) Write(data []byte) (int, error) {
+	sys.mu.Lock()
+	defer sys.mu.Unlock()
+	sys.log.WriteString(time.Now().Format("05.000 "))
+	return sys.log.Write(data)
+}
+
+func (sys *testSystem) logText() string {
+	sys.mu.Lock()
+	defer sys.mu.Unlock()
+	return sys.log.String()
+}
+
+// leader returns the name of the instance that leads the shard of a domain.
+func (sys *testSystem) leader(domain string) string {
+	for name, prc := range sys.instances {
+		prc.dmn.mu.Lock()
+		for shd := range prc.dmn.leaders {
+			if strings.HasPrefix(string(shd), domain+".") && !prc.dmn.leaving.Load() {
+				prc.dmn.mu.Unlock()
+				return name
+			}
+		}
+		prc.dmn.mu.Unlock()
+	}
+	return ""
+}
