--- a/internal/process/daemon/callers_test.go
+++ b/internal/process/daemon/callers_test.go
@@ -10,13 +10,15 @@
 	"chestnutstack/platform/standin"
 )
 
-// jobSpec is a submission of one step.
+// jobSpec describes a job of one step whose tasks are alike.
 type jobSpec struct {
-	id       string
-	path     string
-	tasks    int
+	id string
+	// path is the queue; "/thumb/" if empty.
+	path  string
+	tasks int
+	// patience is how long the caller waits for an answer; 5 s if 0.
 	patience time.Duration
-	// expected is the caller's guess of the run time; what the payload says if it is 0.
+	// expected is the caller's estimate of a task's run time; the actual one if 0.
 	expected time.Duration
 	payload
 }
@@ -27,10 +29,12 @@
 	return status
 }
 
+// call is send that also returns the body of the answer, or the error's text.
 func (sys *testSystem) call(ctx context.Context, to string, job jobSpec) (int, string) {
 	return sys.callHost(ctx, sys.instances[to].host, job)
 }
 
+// callHost is call for the machine of an instance's incarnation.
 func (sys *testSystem) callHost(ctx context.Context, host string, job jobSpec) (int, string) {
 	if job.path == "" {
 		job.path = "/thumb/"
@@ -41,7 +45,7 @@
 	if job.expected == 0 {
 		job.expected = time.Duration(job.Millis) * time.Millisecond
 	}
-	text, _ := json.Marshal(job.payload) // Plain fields always encode.
+	text, _ := json.Marshal(job.payload) // Can't fail: the fields are strings, numbers and booleans.
 	ctx, cancel := context.WithTimeout(ctx, job.patience)
 	defer cancel()
 	rep, err := sys.client().Submit(ctx, host+":1", &standin.Job{
@@ -54,13 +58,14 @@
 	return rep.Status, rep.Body
 }
 
+// client returns a caller that opens a new connection for each call.
 func (sys *testSystem) client() *standin.Client {
 	return standin.NewClient(&http.Client{
 		Transport: &http.Transport{DialContext: sys.net.Dialer(clientHost), DisableKeepAlives: true},
 	})
 }
 
-// queryQueue asks an instance for a queryQueue and returns the status, 0 if there was no answer.
+// queryQueue asks an instance about a queue and returns the status, 0 if there was no answer.
 func (sys *testSystem) queryQueue(at, path string) int {
 	rep, err := sys.client().Queue(sys.ctx, sys.instances[at].host+":1", path)
 	if err != nil {
@@ -69,7 +74,7 @@
 	return rep.Status
 }
 
-// sentJob is a submission in progress.
+// sentJob is a call that submits a job; the other fields are set once done is closed.
 type sentJob struct {
 	status int
 	took   time.Duration
@@ -77,9 +82,10 @@
 	done   chan struct{}
 }
 
+// sendAsync submits a job to an instance in the background.
 func (sys *testSystem) sendAsync(ctx context.Context, to string, job jobSpec) *sentJob {
 	snt := &sentJob{done: make(chan struct{})}
-	// The caller's address is fixed now: the instance of that name may be another one when it sends.
+	// The address is looked up before the call starts: a later incarnation of the instance has another one.
 	host := sys.instances[to].host
 	sys.grp.Go(func() error {
 		defer close(snt.done)
--- a/internal/process/daemon/instance_faults_test.go
+++ b/internal/process/daemon/instance_faults_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestJobsAreAnsweredWithoutFaults(t *testing.T) {
-	// Jobs of all sizes are taken in anywhere and answered when their last task is done.
+	// Guards against jobs that are answered late, or not at all, while nothing fails, at whichever instance they are submitted.
 	inTestSystem(t, 3, 2, 3, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		for num, name := range []string{"entry-1-1", "entry-1-2", "entry-2-1", "entry-3-2"} {
@@ -29,20 +29,20 @@
 }
 
 func TestWideJobUsesAllDomains(t *testing.T) {
-	// A job of 16 tasks finds room for 4 in its own failure domain of two servers. The rest starts in the others'
-	// room at once instead of waiting for its own domain.
+	// Guards against tasks that wait in their job's own failure domain while others have free capacity: of 16 tasks, 4 fit in the two servers
+	// of the own domain.
 	inTestSystem(t, 4, 1, 2, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		began := time.Now()
 		status := sys.send(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 16, payload: payload{Millis: 500}})
 		chk.Equal(status, http.StatusOK)
-		chk.True(time.Since(began) < 550*time.Millisecond)
+		chk.True(time.Since(began) < 550*time.Millisecond) // Less than two rounds of 500 ms: all tasks run at once.
 	})
 }
 
 func TestWaitingTasksMoveToFreeRoom(t *testing.T) {
-	// All servers are busy, those of one domain for longer. When room comes free in the other domain, tasks
-	// that wait in the queue of the busy one are called back and start there.
+	// Guards against tasks that stay queued in a failure domain that is busy for long after capacity has become free in another one.
+	// They are recalled and start there.
 	inTestSystem(t, 2, 1, 1, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		long := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 2, payload: payload{Millis: 3000}})
@@ -50,6 +50,7 @@
 		short := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(2), tasks: 2, payload: payload{Millis: 400}})
 		time.Sleep(100 * time.Millisecond)
 		began := time.Now()
+		// Both domains are full: one for 0.2 s more, where these tasks end up, the other for almost 3 s.
 		last := sys.send(sys.ctx, "entry-1-1", jobSpec{id: jobID(3), tasks: 2, payload: payload{Millis: 100}})
 		chk.Equal(last, http.StatusOK)
 		chk.True(time.Since(began) < 800*time.Millisecond)
@@ -61,9 +62,8 @@
 }
 
 func TestLeaderLosesPower(t *testing.T) {
-	// The instance that leads a shard loses power while tasks of another instance's caller run there. The
-	// other instance takes the shard over, finds the tasks running or lapsed, and the caller gets its answer;
-	// no task runs twice at once.
+	// Guards against a job that gets no answer, or whose tasks run twice at once, when the leader of its shard loses power. The owner takes the
+	// shard over and finds the tasks still running, or ended because their leases have expired.
 	inTestSystem(t, 2, 2, 3, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		led := sys.leader("domain-1")
@@ -77,8 +77,8 @@
 }
 
 func TestLeaderStopsAsPlanned(t *testing.T) {
-	// The leader of a shard gets SIGTERM while tasks of its own callers and others run. The shard changes hands
-	// without the loss of a run, and every answer reaches its caller before the process ends.
+	// Guards against runs that are stopped, or answers that don't reach their callers, when the leader of a shard stops as planned (SIGTERM)
+	// while tasks of its own callers and of another instance's run.
 	inTestSystem(t, 2, 2, 3, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		led := sys.leader("domain-1")
@@ -94,7 +94,7 @@
 		<-late.done
 		chk.Equal(own.status, http.StatusOK)
 		chk.Equal(far.status, http.StatusOK)
-		chk.Equal(late.status, http.StatusOK) // It is answered though the balancer sent it late.
+		chk.Equal(late.status, http.StatusOK) // The balancer still sends requests for a while.
 		for _, tsk := range []string{"0", "1", "2"} {
 			chk.Equal(sys.ldg.Starts(jobID(1)+".0.0."+tsk), 1)
 			chk.Equal(sys.ldg.Starts(jobID(2)+".0.0."+tsk), 1)
@@ -104,8 +104,8 @@
 }
 
 func TestOwnerLosesPower(t *testing.T) {
-	// The instance that took a job in loses power. Its caller sends the job again 1.3 s later to another one,
-	// unmarked. By then every run of the first attempt has been stopped.
+	// Guards against tasks that run twice at once when a job's owner loses power and the caller sends the job again to another instance 1.3 s
+	// later. Nothing marks it as sent again, so that all runs of the first attempt must have been stopped by then.
 	inTestSystem(t, 2, 2, 3, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		led := sys.leader("domain-1")
@@ -123,8 +123,8 @@
 }
 
 func TestLeaderAndOwnerLosePower(t *testing.T) {
-	// One instance had taken the job in and led its shard. Nobody answers for what runs there: the new
-	// leader stops it before it renews any lease, and the job sent again meets no copy of itself.
+	// Guards against tasks that run twice at once when a job's owner, which also leads its shard, loses power and the caller sends the job again.
+	// The new leader gets no orders for these runs and must stop them before it renews any lease.
 	inTestSystem(t, 2, 2, 3, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		led := sys.leader("domain-1")
@@ -140,7 +140,7 @@
 }
 
 func TestCallerLeaves(t *testing.T) {
-	// A caller closes its connection. Its tasks are stopped at once, as it may send the job elsewhere.
+	// Guards against runs that go on after their caller has closed the connection: it may send the job to another instance at once.
 	inTestSystem(t, 2, 1, 2, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		ctx, leave := context.WithCancel(sys.ctx)
@@ -155,8 +155,8 @@
 }
 
 func TestDomainIsCutOff(t *testing.T) {
-	// A failure domain is cut off from the others and the store. Its callers are served by its own servers, the
-	// others by theirs, and at the end of the cut no shard changes hands: nothing is broken off.
+	// Guards against callers that aren't served while a failure domain is cut off from the others and the store, and against runs that are stopped
+	// at the end of the cut because the shard gets another leader.
 	inTestSystem(t, 3, 2, 3, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		led := sys.leader("domain-2")
@@ -180,8 +180,8 @@
 }
 
 func TestCutDuringWork(t *testing.T) {
-	// Tasks of a caller of one domain run in another when the two lose each other. Both sides wait until
-	// the runs are surely over; then they start elsewhere, and the late answer is still delivered.
+	// Guards against tasks that run twice at once, or are never answered, when the domain where they run is cut off from their owner's. Both sides
+	// must wait until the runs are surely over before the tasks start elsewhere.
 	inTestSystem(t, 2, 1, 2, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		snt := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 8, payload: payload{Millis: 900}})
@@ -195,14 +195,14 @@
 }
 
 func TestStartIsCarriedOutLate(t *testing.T) {
-	// A server leaves orders to start unanswered and carries them out seconds later. The leader does not take
-	// them for not run: it stops them until the server says so, and only then starts the tasks elsewhere.
+	// Guards against tasks that run twice at once when a server doesn't answer a start and carries it out up to seconds later. The leader must not take
+	// the start for failed: it sends stops until the server confirms, and starts the task elsewhere only then.
 	for name, late := range map[string]time.Duration{"within the timeout": 100 * time.Millisecond, "seconds": 3 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			inTestSystem(t, 1, 2, 3, func(sys *testSystem) {
 				chk := is.NewRelaxed(t)
 				for _, srv := range sys.servers {
-					srv.LoseAnswers(1, late)
+					srv.LoseAnswers(1, late) // The next start.
 				}
 				for num := range 6 {
 					chk.Equal(sys.send(sys.ctx, "entry-1-1", jobSpec{id: jobID(num), tasks: 4, payload: payload{Millis: 300}}),
@@ -216,24 +216,23 @@
 }
 
 func TestLostRunsEndBeforeTasksRestart(t *testing.T) {
-	// Owner and leader miss each other, and the stop of a run gets no answer, so that its lease has to lapse. The owner
-	// started the task elsewhere 30 ms before that: half a beat until the silence is noticed was left out of the
-	// sum, and a look just before the end of the patience renews the lease once more. The sum has to stay below
-	// the time after which an owner starts tasks elsewhere, and callers send their jobs again.
+	// Guards against a task that is started again before its lost run is over: owner and leader are cut off from each other, and the stop of the
+	// run gets no answer, so that its lease has to expire.
 	chk := is.NewRelaxed(t)
 	cfg := shard.DefaultConfig()
+	// Missed heartbeats are checked for each half interval, so that a loss is noticed up to half an interval late.
 	noticed := silentBeats*beatInterval + beatInterval/2 + mesh.ReadTime
+	// A renewal just before the end of the stop's patience extends the lease once more: the whole expiry comes on top.
 	over := noticed + cfg.StopPatience + cfg.Lapse()
-	chk.True(over < proof)
-	chk.True(over < leastResend)
-	// An order that follows its shard to a new leader comes once its owner has missed the former one.
+	chk.True(over < proof)       // After it the owner starts the task elsewhere.
+	chk.True(over < leastResend) // After it the caller sends the job again.
+	// An owner sends an order to the shard's new leader once it has missed the former one, and that leader starts it after Doubt at the earliest.
 	chk.True(over < silentBeats*beatInterval+cfg.Doubt)
 }
 
 func TestShardGoesToAFreshInstanceWhoseListIsShort(t *testing.T) {
-	// A server's entry has lapsed while the server and its leader were fine. The leader stops as planned, and a fresh
-	// instance takes the shard over, which has never heard of that server. A job of another failure domain has tasks
-	// there. They must not start elsewhere before the lease that the former leader gave has lapsed.
+	// Guards against tasks that run twice at once after a takeover by a new instance that never saw the record of a live server: the record
+	// expired before it started. Tasks there must not start elsewhere before the lease from the former leader has expired.
 	inTestSystem(t, 2, 1, 3, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		job := jobSpec{id: jobID(1), tasks: 8, payload: payload{Millis: 2500}, patience: 8 * time.Second}
@@ -251,8 +250,8 @@
 }
 
 func TestLeaderStopsWhileAServerIsNotListed(t *testing.T) {
-	// A server's entry has lapsed, and the leader of its shard stops as planned. Another instance of the failure domain
-	// has seen the entry before: it takes that server over with the rest, and what runs there runs on.
+	// Guards against runs that are stopped at a takeover because the record of their live server has expired: the leader stops as planned, and the new
+	// one, which saw the record before, has to take that server over with the others.
 	inTestSystem(t, 2, 2, 3, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		snt := sys.sendAsync(sys.ctx, "entry-2-1", jobSpec{id: jobID(1), tasks: 8, payload: payload{Millis: 2500}})
@@ -270,10 +269,8 @@
 }
 
 func TestServerIsAddedWhileTheStoreTurnsAnInstanceAway(t *testing.T) {
-	// The store turns one instance of a failure domain away, and a server is added that the domain's leader takes in.
-	// The leader is killed before it has told where a job's tasks run. The other instance takes the shard over and has
-	// never heard of that server, though its own list was whole once. What runs there must not start elsewhere before its
-	// lease has lapsed.
+	// Guards against tasks that run twice at once after a takeover by an instance that was cut off from the store when a server was added.
+	// Its list was complete once, and the leader is killed before it has reported that tasks run on the new server.
 	inTestSystem(t, 2, 2, 2, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		led := sys.leader("domain-1")
@@ -285,9 +282,10 @@
 		time.Sleep(time.Second)
 		job := jobSpec{id: jobID(1), tasks: 6, payload: payload{Millis: 2500}, patience: 8 * time.Second}
 		snt := sys.sendAsync(sys.ctx, "entry-2-1", job)
-		time.Sleep(10 * time.Millisecond)
+		time.Sleep(10 * time.Millisecond) // The tasks have started, and no report says where.
 		chk.Equal(sys.ldg.Running(), 6)
 		sys.kill(led)
+		// What runs on the new server must not start elsewhere before its lease has expired; the ledger notes it.
 		<-snt.done
 		chk.Equal(snt.status, http.StatusOK)
 	})
--- a/internal/process/daemon/system_test.go
+++ b/internal/process/daemon/system_test.go
@@ -21,7 +21,8 @@
 	"chestnutstack/platform/standin"
 )
 
-// testSystem is a whole system in virtual time: real daemons and stand-ins, joined by pipes.
+// testSystem runs a whole system in one process: real daemons, and stand-ins for the store, the backend servers and the callers,
+// connected by a simulated network.
 type testSystem struct {
 	t       testing.TB
 	net     *pipe.Network
@@ -31,38 +32,39 @@
 	ldg     *standin.Ledger
 	servers map[string]*standin.Server
 	instances map[string]*process
-	// formerProcesses are earlier lives.
+	// formerProcesses are the earlier incarnations of instances that were started again.
 	formerProcesses  []*process
 	configVersion int
 	lastNumber   int
-	// linkBytes is what the link of each instance carries a second; 0 for no bound.
+	// linkBytes is the bandwidth of each instance's network link in bytes per second; 0 for no limit.
 	linkBytes int
-	// domains are the failure domains that settings name.
+	// domains are the failure domains in the settings of each instance.
 	domains []string
-	// serverSizes are those of the servers in turn; serverProcessor if there are none.
+	// serverSizes are the capacities of the backend servers, assigned round robin, in thousandths of a core; serverProcessor if empty.
 	serverSizes []int64
 
 	mu  sync.Mutex
 	log bytes.Buffer
 }
 
-// process is a daemon that can be stopped, killed or frozen.
+// process is one incarnation of an instance: a daemon that can be stopped, killed, paused or suspended.
 type process struct {
 	name, host, domain string
 	stop               context.CancelFunc
 	done               chan struct{}
 	dmn                *Daemon
-	// ended is set once the process was stopped or lost its power.
+	// ended is set by random faults that stop the process or cut its power; restartEnded starts such instances again.
 	ended bool
-	// poweredOff is set once its machine has lost its power.
+	// poweredOff is set once the machine of the process has lost power.
 	poweredOff bool
 	mu   sync.Mutex
-	// suspendedFor is how long the process was frozen, by the clock that counts such time.
+	// suspendedFor is the total time for which the machine was suspended; the process's clock counts it.
 	suspendedFor time.Duration
-	// pausedSince is since when the process stands still, for want of processor.
+	// pausedSince is when the process stopped getting processor time; zero while it runs.
 	pausedSince time.Time
 }
 
+// now is the daemon's clock: it includes suspensions, and stands while the process is paused.
 func (prc *process) now() time.Time {
 	prc.mu.Lock()
 	defer prc.mu.Unlock()
@@ -87,14 +89,16 @@
 	service         = "render"
 )
 
-// payload is what the tasks of a test say of themselves.
+// payload tells a stand-in server how a task of a test behaves.
 type payload struct {
+	// Millis is the run time in milliseconds.
 	Millis int
 	Fails  bool
+	// Stalls is the server on which the task makes no progress and does not end; empty for none.
 	Stalls string
-	// Pad makes the payload as large as callers' are.
+	// Pad makes the payload as large as those of real callers.
 	Pad string
-	// Needs is what a task takes of a server, in thousandths of a core; taskProcessor if it is 0.
+	// Needs is the processor that a task takes, in thousandths of a core; taskProcessor if 0.
 	Needs int64
 }
 
@@ -105,23 +109,23 @@
 	return taskProcessor
 }
 
-// inTestSystem runs a test in virtual time, with a number of entry instances and of backend servers in each of some
-// failure domains, and checks at its end that no promise was broken.
+// inTestSystem runs body in virtual time in a system whose failure domains have so many instances and backend servers each. At the end it
+// reports each violation that the ledger noted: a task that ran twice at once, an overfull server, a start in a closed domain.
 func inTestSystem(t *testing.T, domains, instances, servers int, body func(sys *testSystem)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		runTestSystem(t, domains, instances, servers, body)
-		time.Sleep(20 * time.Second) // Timers of stand-ins run out.
+		time.Sleep(20 * time.Second) // The stand-ins' timers must have fired before the bubble ends.
 	})
 }
 
-// runTestSystem is inWorld in the time that the test has.
+// runTestSystem is inTestSystem without a bubble of its own: in real time, or in the virtual time of the caller's bubble.
 func runTestSystem(t testing.TB, domains, instances, servers int, body func(sys *testSystem)) {
 	t.Helper()
 	runTestSystemWith(t, &testSystem{}, domains, instances, servers, body)
 }
 
-// runTestSystemWith is playInWorld in a world that the test has given its properties.
+// runTestSystemWith is runTestSystem for a testSystem whose link bandwidth and server sizes the test has set.
 func runTestSystemWith(t testing.TB, sys *testSystem, domains, instances, servers int, body func(sys *testSystem)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -161,7 +165,7 @@
 		t.Errorf("processes: %v", err)
 	}
 	for _, brk := range sys.ldg.Broken() {
-		t.Errorf("broken promise: %s", brk)
+		t.Errorf("invariant violated: %s", brk)
 	}
 	if testing.Verbose() {
 		t.Log(sys.logText())
@@ -170,11 +174,12 @@
 
 func domainName(num int) string { return fmt.Sprintf("domain-%d", num+1) }
 
+// serve serves HTTP at an address of the simulated network until the test ends.
 func (sys *testSystem) serve(addr string, hdl http.Handler) *http.Server {
 	srv := &http.Server{Handler: hdl, ReadHeaderTimeout: time.Minute}
 	lis := sys.net.Listen(addr)
 	sys.grp.Go(func() error {
-		_ = srv.Serve(lis) // It ends with the listener.
+		_ = srv.Serve(lis) // Always returns an error once it is closed.
 		return nil
 	})
 	sys.grp.Go(func() error {
@@ -184,7 +189,7 @@
 	return srv
 }
 
-// publishRoutes publishes a configuration with just these prefixes.
+// publishRoutes publishes a new version of the configuration that has one route for each prefix and no other.
 func (sys *testSystem) publishRoutes(prefixes ...string) {
 	sys.configVersion++
 	rts := []standin.Route{}
@@ -196,6 +201,7 @@
 	sys.sto.Configure(sys.configVersion, rts)
 }
 
+// startServer starts a stand-in backend server and lists it as ready.
 func (sys *testSystem) startServer(id, domain string) {
 	size := int64(serverProcessor)
 	if len(sys.serverSizes) > 0 {
@@ -216,11 +222,12 @@
 	sys.listServer(id, domain, "ready")
 }
 
+// listServer writes a server's record, as its heartbeat does; state is "ready" or "draining".
 func (sys *testSystem) listServer(id, domain, state string) {
 	sys.sto.List(sys.servers[id], service, id+":1", domain, state == "draining")
 }
 
-// startInstance starts a process on a machine of its own; the same name again is its next life.
+// startInstance starts an instance on a machine of its own. A name that was started before gets a new incarnation, on a new machine.
 func (sys *testSystem) startInstance(name, domain string) *process {
 	sys.lastNumber++
 	host := fmt.Sprintf("%s-life-%d", name, sys.lastNumber)
@@ -258,7 +265,7 @@
 	return prc
 }
 
-// powerOff ends a process as the loss of its machine's power does.
+// powerOff ends a process as a power loss does: its machine answers nothing any more, and connections are not closed.
 func (sys *testSystem) powerOff(name string) {
 	prc := sys.instances[name]
 	sys.net.Isolate(prc.host)
@@ -275,13 +282,14 @@
 	prc.stop()
 }
 
+// separateFromAll cuts a process off from all machines, in both directions.
 func (sys *testSystem) separateFromAll(prc *process) {
 	for _, oth := range sys.hosts() {
 		sys.net.Separate(prc.host, oth)
 	}
 }
 
-// heal ends all cuts; machines without power stay dark.
+// heal ends all network partitions; machines without power stay unreachable.
 func (sys *testSystem) heal() {
 	sys.net.Heal()
 	for _, prc := range sys.formerProcesses {
@@ -296,7 +304,7 @@
 	}
 }
 
-// hosts returns all machines.
+// hosts returns the names of all machines: the store's, the callers', and those of the current instances and of the servers.
 func (sys *testSystem) hosts() []string {
 	hsts := []string{storeHost, clientHost}
 	for _, prc := range sys.instances {
@@ -308,15 +316,15 @@
 	return hsts
 }
 
-// addSuspension makes a process see that its machine was suspended.
+// addSuspension moves the clock of a process ahead, as a suspension of its machine does.
 func (prc *process) addSuspension(dur time.Duration) {
 	prc.mu.Lock()
 	defer prc.mu.Unlock()
 	prc.suspendedFor += dur
 }
 
-// pauseProcess makes a process that has come to stand get no processor for a while: it sees no time pass and hears nobody, and then
-// everything at once.
+// pauseProcess keeps a process, whose clock stopClock has stopped, from receiving anything for a while. Then it sees the whole time pass at
+// once and receives everything that was sent to it meanwhile, as after a time without processor.
 func (sys *testSystem) pauseProcess(prc *process, dur time.Duration) {
 	sys.net.Stall(prc.host)
 	time.Sleep(dur)
@@ -324,7 +332,7 @@
 	sys.net.Resume(prc.host)
 }
 
-// stopClock stops the process's clock and reports whether it went until now.
+// stopClock stops the process's clock and reports whether it was running; if not, the process is paused already.
 func (prc *process) stopClock() bool {
 	prc.mu.Lock()
 	defer prc.mu.Unlock()
@@ -341,7 +349,8 @@
 	prc.pausedSince = time.Time{}
 }
 
-// cut separates a failure domain from the others and the store; its clients and servers still reach it.
+// cut partitions the network: the instances and servers of a failure domain don't reach those of the others, nor its instances the store.
+// Callers reach all instances.
 func (sys *testSystem) cut(domain string) {
 	for _, prc := range sys.instances {
 		if prc.domain != domain {
@@ -363,7 +372,7 @@
 	}
 }
 
-// Write implements io.Writer for the logs of all processes.
+// Write implements io.Writer: it collects the logs of all processes, each line behind the second of the time of day.
 func (sys *testSystem) Write(data []byte) (int, error) {
 	sys.mu.Lock()
 	defer sys.mu.Unlock()
@@ -371,13 +380,14 @@
 	return sys.log.Write(data)
 }
 
+// logText returns what all processes have logged so far.
 func (sys *testSystem) logText() string {
 	sys.mu.Lock()
 	defer sys.mu.Unlock()
 	return sys.log.String()
 }
 
-// leader returns the name of the instance that leads the shard of a domain.
+// leader returns the name of an instance that leads a shard of a domain and is not stopping; empty if there is none.
 func (sys *testSystem) leader(domain string) string {
 	for name, prc := range sys.instances {
 		prc.dmn.mu.Lock()
