--- a/internal/process/daemon/callers_test.go
+++ b/internal/process/daemon/callers_test.go
@@ -97,4 +97,5 @@
 	return snt
 }
 
+// jobID returns the id of the job with a number, 16 hexadecimal digits as real ids have.
 func jobID(num int) string { return fmt.Sprintf("%016x", num) }
--- a/internal/process/daemon/clock_test.go
+++ b/internal/process/daemon/clock_test.go
@@ -7,11 +7,12 @@
 	"github.com/matryer/is"
 )
 
-// A suspension is missed by a process that does not ask the kernel each time, or a step of the time of day is taken for one.
+// Guards against a suspension that the clock misses because it doesn't read the kernel's clock each time, and against a step of the time of day
+// that it takes for a suspension.
 func TestClockCountsSuspensions(t *testing.T) {
 	cases := map[string]struct {
 		ran, slept, stepped time.Duration
-		// seen is what the clock tells at once.
+		// seen is the suspension that the clock must count at its next reading.
 		seen time.Duration
 	}{
 		"nothing happens":                       {ran: 100 * time.Millisecond},
--- a/internal/process/daemon/closed_test.go
+++ b/internal/process/daemon/closed_test.go
@@ -12,24 +12,26 @@
 	"chestnutstack/platform"
 )
 
-// closingDelay is how long the news that a failure domain is closed may take.
+// closingDelay is how long it may take until each instance knows that a failure domain is closed.
 const closingDelay = time.Second
 
-// closeDomain closes a failure domain, as an operator does; a start there once the news is out breaks a promise.
+// closeDomain closes a failure domain, as an operator does. After closingDelay the ledger notes each start there as a violation.
 func (sys *testSystem) closeDomain(domain string) {
 	sys.sto.CloseDomain(domain)
 	sys.ldg.Close(serversOf(domain), time.Now().Add(closingDelay))
 }
 
+// openDomain opens a closed failure domain again.
 func (sys *testSystem) openDomain(domain string) {
 	sys.sto.OpenDomain(domain)
 	sys.ldg.Open(serversOf(domain))
 }
 
-// serversOf returns how the names of a failure domain's servers begin.
+// serversOf returns the prefix of the names of a failure domain's servers.
 func serversOf(domain string) string { return "server-" + strings.TrimPrefix(domain, "domain-") + "-" }
 
-// sendLoad sends a job to each instance in turn for a while, and returns the calls.
+// sendLoad sends jobs at a regular interval for a while, to the running instances in turn, and returns the calls; the jobs are numbered from
+// first on.
 func (sys *testSystem) sendLoad(first int, every, dur time.Duration) []*sentJob {
 	var snts []*sentJob
 	for num := first; dur > 0; dur -= every {
@@ -43,7 +45,7 @@
 	return snts
 }
 
-// countStatuses returns how many calls were answered with each status.
+// countStatuses waits for the calls to end and returns how many were answered with each status.
 func countStatuses(snts []*sentJob) map[int]int {
 	num := map[int]int{}
 	for _, snt := range snts {
@@ -53,7 +55,8 @@
 	return num
 }
 
-// A closed failure domain gets tasks: from an instance that has not heard of it, that has just taken a shard over, or that has just started.
+// Guards against tasks that start in a closed failure domain, because an instance has not learned of the closing, has just taken a shard over,
+// or has just started.
 func TestClosedDomainGetsNoWork(t *testing.T) {
 	cases := map[string]func(sys *testSystem){
 		"nothing happens":        func(*testSystem) {},
@@ -70,26 +73,26 @@
 			sys.startInstance("entry-2-1", "domain-2")
 			sys.startInstance("entry-2-2", "domain-2")
 		},
-		"its leader freezes and wakes": func(sys *testSystem) {
+		"its leader is suspended": func(sys *testSystem) {
 			prc := sys.instances[sys.leader("domain-2")]
 			sys.net.Separate(prc.host, storeHost)
 			prc.addSuspension(2 * time.Second)
 			time.Sleep(time.Second)
 			sys.net.Heal()
 		},
-		"the store turns its instances away": func(sys *testSystem) {
+		"its instances are cut off from the store": func(sys *testSystem) {
 			for _, prc := range sys.runningProcesses() {
 				if prc.domain == "domain-2" {
 					sys.net.Separate(prc.host, storeHost)
 				}
 			}
 		},
-		"the store is away": func(sys *testSystem) { sys.sto.SetDown(true) },
-		"the history is dropped": func(sys *testSystem) {
+		"the store is down": func(sys *testSystem) { sys.sto.SetDown(true) },
+		"the history is compacted": func(sys *testSystem) {
 			sys.sto.Compact(string(platform.ConfigurationTopic))
 			sys.publishRoutes("/thumb/", "/deck/")
 		},
-		"another writer writes nonsense": func(sys *testSystem) {
+		"another writer writes invalid records": func(sys *testSystem) {
 			sys.sto.Put(string(platform.ConfigurationTopic), "evacuate/domain-2", "no")
 			sys.sto.CloseDomain("")
 		},
@@ -111,7 +114,7 @@
 	}
 }
 
-// What waits in the queues of a domain that is being closed stays there until its callers' deadlines.
+// Guards against tasks that stay queued in a failure domain until their deadlines after it was closed.
 func TestClosedDomainGivesWaitingWorkBack(t *testing.T) {
 	inTestSystem(t, 2, 1, 1, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
@@ -123,7 +126,7 @@
 		}
 		sys.closeDomain("domain-1")
 		<-long.done
-		chk.Equal(long.status, http.StatusOK) // What runs there finishes.
+		chk.Equal(long.status, http.StatusOK) // Tasks that run there when it is closed finish.
 		for _, snt := range snts {
 			<-snt.done
 			chk.Equal(snt.status, http.StatusOK)
@@ -132,7 +135,7 @@
 	})
 }
 
-// With all failure domains closed, callers wait until their deadlines for servers that get nothing.
+// Guards against callers that wait until their deadlines while all failure domains are closed and no server may get a task.
 func TestAllDomainsAreClosed(t *testing.T) {
 	inTestSystem(t, 2, 2, 2, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
@@ -154,7 +157,8 @@
 	})
 }
 
-// A closed domain that is cut off has instances and callers, and no server that may be used.
+// Guards against callers that wait until their deadlines in a closed failure domain that is cut off: its instances reach no server that may be
+// used.
 func TestClosedDomainIsCutOff(t *testing.T) {
 	inTestSystem(t, 3, 2, 2, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
@@ -172,16 +176,21 @@
 	})
 }
 
-// A domain that was opened stays without work, with the news lost or read twice.
+// Guards against a failure domain that gets no tasks after it was opened again, because its instances don't learn of the opening, or learn of
+// it several times.
 func TestDomainIsOpenedAgain(t *testing.T) {
 	cases := map[string]func(sys *testSystem){
-		"by its record":                  func(sys *testSystem) { sys.openDomain("domain-1") },
-		"within the time that news take": func(sys *testSystem) { sys.openDomain("domain-1"); sys.closeDomain("domain-1"); sys.openDomain("domain-1") },
-		"and the history is dropped": func(sys *testSystem) {
+		"by its record": func(sys *testSystem) { sys.openDomain("domain-1") },
+		"and closed and opened again at once": func(sys *testSystem) {
+			sys.openDomain("domain-1")
+			sys.closeDomain("domain-1")
+			sys.openDomain("domain-1")
+		},
+		"and the history is compacted": func(sys *testSystem) {
 			sys.openDomain("domain-1")
 			sys.sto.Compact(string(platform.ConfigurationTopic))
 		},
-		"while the store is away": func(sys *testSystem) {
+		"while the store is down": func(sys *testSystem) {
 			sys.sto.SetDown(true)
 			sys.openDomain("domain-1")
 			time.Sleep(2 * time.Second)
@@ -196,7 +205,7 @@
 				time.Sleep(1500 * time.Millisecond)
 				open(sys)
 				time.Sleep(1500 * time.Millisecond)
-				// All eight run at once only with the servers of both domains.
+				// All eight tasks run at once only on the servers of both domains.
 				began := time.Now()
 				job := jobSpec{id: jobID(1), tasks: 8, payload: payload{Millis: 300}}
 				chk.Equal(sys.send(sys.ctx, "entry-2-1", job), http.StatusOK)
@@ -207,7 +216,7 @@
 	}
 }
 
-// Thousands of records name failure domains that do not exist.
+// Guards against jobs that aren't served because thousands of records close failure domains that don't exist.
 func TestManyClosingsOfUnknownDomains(t *testing.T) {
 	inTestSystem(t, 2, 1, 1, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
--- a/internal/process/daemon/entries_test.go
+++ b/internal/process/daemon/entries_test.go
@@ -11,11 +11,12 @@
 )
 
 func TestAllEntriesOfADomainLapse(t *testing.T) {
-	// A failure domain is cut off and serves its callers with its own servers, whose entries lapse in the store meanwhile.
-	// The cut ends: its leader reads that all of its servers are gone, some 0.4 s before it reads that they are back. It
-	// gave its shard up over that ("gone from the list" for each server, then "leaving the shard", fenced false), nobody
-	// renewed the leases, and it took the shard over again from a list of a few servers. What it did not find there went
-	// back to its owner as not run, and started elsewhere up to 40 ms before its first run's lease had lapsed.
+	// Guards against a leader that gives its shard up because the records of all its servers expired while its failure domain was cut off
+	// from the store. Its tasks then start elsewhere before their leases have expired.
+	//
+	// After the cut the leader reads that all servers are gone, and some 0.4 s later that they are back. If it gives the shard up between
+	// (logged as "leaving the shard", fenced false), nobody renews the leases. If it then takes the shard over with a list of a few servers, it
+	// reports the tasks on the others as not run, and they start elsewhere up to 40 ms before the leases of their first runs have expired.
 	for back := 50 * time.Millisecond; back <= 950*time.Millisecond; back += 100 * time.Millisecond {
 		t.Run(fmt.Sprint("back-after-", back), func(t *testing.T) {
 			inTestSystem(t, 2, 2, 4, func(sys *testSystem) { expireServerEntries(t, sys, back) })
@@ -23,6 +24,8 @@
 	}
 }
 
+// expireServerEntries removes the records of all servers of a failure domain that is cut off, ends the cut, and writes the records again from
+// some time after that on.
 func expireServerEntries(t *testing.T, sys *testSystem, back time.Duration) {
 	t.Helper()
 	chk := is.NewRelaxed(t)
@@ -37,7 +40,7 @@
 	sys.heal()
 	time.Sleep(back)
 	for num := range 4 {
-		// One after the other, as their heartbeats come.
+		// One after the other, as the servers send their heartbeats at different times.
 		sys.listServer(fmt.Sprintf("server-1-%d", num+1), "domain-1", "ready")
 		time.Sleep(150 * time.Millisecond)
 	}
--- a/internal/process/daemon/grown_bench_test.go
+++ b/internal/process/daemon/grown_bench_test.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// BenchmarkGrownSystem plays 39 instances and 351 backend servers under 850 jobs a second: 2,800 starts. With
-// -cpuprofile it shows where the processor time of a start goes, in the daemons and in their stand-ins.
+// BenchmarkGrownSystem runs 39 instances and 351 backend servers under 850 jobs, that is 2,800 starts of tasks, per second. With -cpuprofile it
+// shows what takes processor time in a start, in the daemons and in the stand-ins.
 func BenchmarkGrownSystem(ben *testing.B) {
 	tasks, used := 0, time.Duration(0)
 	var calls uint64
@@ -46,7 +46,7 @@
 	ben.ReportMetric(float64(used.Microseconds())/float64(tasks), "us-cpu/task")
 }
 
-// processorTime returns the processor time that this process has used.
+// processorTime returns the processor time that this process has used, in user and kernel mode.
 func processorTime(tst testing.TB) time.Duration {
 	var use unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &use); err != nil {
--- a/internal/process/daemon/idle_test.go
+++ b/internal/process/daemon/idle_test.go
@@ -13,19 +13,21 @@
 	"github.com/matryer/is"
 )
 
-var measure = flag.Bool("measure", false, "also play the idle systems that take minutes")
+var measure = flag.Bool("measure", false, "also run the tests of systems that take minutes")
 
-// idleServers is how many backend servers there are for each instance of an idle system.
+// idleServers is the number of backend servers for each instance of an idle system.
 const idleServers = 8
 
-// idleUse is what an instance of a system without jobs spends in a second.
+// idleUse is the resource use of a system without jobs: totals as resourceUse returns them, or means per instance and second. Renewals of leases
+// are counted as looks; allocations, heapBytes and processor include the stand-ins.
 type idleUse struct {
 	calls, peerBytes, storeBytes, looks float64
 	allocations, heapBytes              float64
 	processor                           time.Duration
 }
 
-// What an instance of a system without jobs spends on knowing the others grows with their number, until it has no time for its callers.
+// Guards against a cost of membership that grows with the number of instances, until an instance has no processor time left for its callers:
+// without jobs, messages and bytes of each instance may at most double from 20 instances on.
 func TestIdleSystem(t *testing.T) {
 	small := measureIdle(t, 20)
 	for _, num := range []int{40, 75, 150, 300} {
@@ -43,13 +45,14 @@
 	}
 }
 
+// measureIdle runs a system without jobs and returns the resource use of each instance per second.
 func measureIdle(t *testing.T, instances int) idleUse {
 	t.Helper()
 	const domains = 5
 	var got idleUse
 	synctest.Test(t, func(t *testing.T) {
 		runTestSystem(t, domains, instances/domains, idleServers*instances/domains, func(sys *testSystem) {
-			// A new instance reads the list in full and talks to all.
+			// A new instance reads the list in full and calls all others; this isn't measured.
 			sys.sendHeartbeats(6 * time.Second)
 			before := sys.resourceUse()
 			const length = 5 * time.Second
@@ -58,16 +61,16 @@
 		})
 		time.Sleep(20 * time.Second)
 	})
-	t.Logf("%d instances, each in a second: %.1f calls and %.0f bytes with peers, %.0f bytes from the store, %.1f looks; with the stand-ins "+
-		"%.0f allocations, %v of processor, %.0f bytes of heap", instances, got.calls, got.peerBytes, got.storeBytes, got.looks,
+	t.Logf("%d instances, each per second: %.1f calls and %.0f bytes to and from peers, %.0f bytes from the store, %.1f renewals; "+
+		"with the stand-ins %.0f allocations, %v of processor time, %.0f bytes of heap", instances, got.calls, got.peerBytes, got.storeBytes, got.looks,
 		got.allocations, got.processor, got.heapBytes)
 	return got
 }
 
-// sendHeartbeats writes the heartbeat of each server every 1.5 s, in turn, for a while.
+// sendHeartbeats writes the record of each server every 1.5 s, spread evenly over that time, for a while.
 func (sys *testSystem) sendHeartbeats(dur time.Duration) { sys.sendHeartbeatsExcept("", dur) }
 
-// sendHeartbeatsExcept is beatServers with one server that writes nothing.
+// sendHeartbeatsExcept is sendHeartbeats with one server that writes nothing.
 func (sys *testSystem) sendHeartbeatsExcept(silent string, dur time.Duration) {
 	const interval = 1500 * time.Millisecond
 	nms := slices.DeleteFunc(slices.Sorted(maps.Keys(sys.servers)), func(id string) bool { return id == silent })
@@ -76,13 +79,13 @@
 	for num := 0; time.Since(began) < dur; num++ {
 		id := nms[num%len(nms)]
 		var dom int
-		_, _ = fmt.Sscanf(id, "server-%d-", &dom) // All are named so.
+		_, _ = fmt.Sscanf(id, "server-%d-", &dom) // Can't fail: all servers have such names.
 		sys.listServer(id, domainName(dom-1), "ready")
 		time.Sleep(time.Until(began.Add(time.Duration(num) * pause)))
 	}
 }
 
-// resourceUse is what all instances have resourceUse so far.
+// resourceUse returns what all current instances have used so far.
 func (sys *testSystem) resourceUse() idleUse {
 	var sum idleUse
 	for _, prc := range sys.instances {
@@ -100,7 +103,7 @@
 	return sum
 }
 
-// since returns what each instance has spent in a second of some time.
+// since returns the mean use per instance and second since an earlier total; heapBytes is the present heap per instance.
 func (idl idleUse) since(was *idleUse, instances int, dur time.Duration) idleUse {
 	num := float64(instances) * dur.Seconds()
 	return idleUse{
--- a/internal/process/daemon/lines_test.go
+++ b/internal/process/daemon/lines_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// A killed process loses more of its log than its last moments.
+// Guards against log lines that stay in the buffer for longer than logInterval, so that a killed process loses more than its last moments.
 func TestLinesAreWrittenSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		chk := is.New(t)
@@ -43,7 +43,7 @@
 	})
 }
 
-// lockedBuffer is a buffer that is read while it is written.
+// lockedBuffer is a buffer that may be read while another goroutine writes.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
--- a/internal/process/daemon/list_test.go
+++ b/internal/process/daemon/list_test.go
@@ -12,7 +12,7 @@
 	"chestnutstack/platform"
 )
 
-// listReader returns the name of the instance that reads the list of servers for the others.
+// listReader returns the name of the instance that reads the list of servers for the others; empty if there is none.
 func (sys *testSystem) listReader() string {
 	for name, prc := range sys.instances {
 		prc.dmn.mu.Lock()
@@ -25,17 +25,18 @@
 	return ""
 }
 
-// The instance that reads the list of servers for all is lost when a server says that it is leaving, and tasks go on starting there.
+// Guards against instances that don't learn within two seconds that a server is draining, because the instance that reads the list of servers
+// for them is lost, or because the digests that it publishes are missing or invalid.
 func TestReaderOfTheListIsLost(t *testing.T) {
 	cases := map[string]func(sys *testSystem, reader string){
-		"nothing happens":                 func(*testSystem, string) {},
-		"it is killed":                    func(sys *testSystem, reader string) { sys.kill(reader) },
-		"it loses power":                  func(sys *testSystem, reader string) { sys.powerOff(reader) },
-		"the store turns it away":         func(sys *testSystem, reader string) { sys.net.Separate(sys.instances[reader].host, storeHost) },
-		"the list's history is dropped":   func(sys *testSystem, _ string) { sys.sto.Compact(string(platform.ServersTopic)) },
-		"the digests' history is dropped": func(sys *testSystem, _ string) { sys.sto.Compact(string(platform.ServerDigestsTopic)) },
-		"digests of nonsense are written": func(sys *testSystem, _ string) { sys.writeInvalidDigests() },
-		"a digest that jumps ahead is written": func(sys *testSystem, _ string) {
+		"nothing happens":                   func(*testSystem, string) {},
+		"it is killed":                      func(sys *testSystem, reader string) { sys.kill(reader) },
+		"it loses power":                    func(sys *testSystem, reader string) { sys.powerOff(reader) },
+		"it is cut off from the store":      func(sys *testSystem, reader string) { sys.net.Separate(sys.instances[reader].host, storeHost) },
+		"the list's history is compacted":   func(sys *testSystem, _ string) { sys.sto.Compact(string(platform.ServersTopic)) },
+		"the digests' history is compacted": func(sys *testSystem, _ string) { sys.sto.Compact(string(platform.ServerDigestsTopic)) },
+		"invalid digests are written":       func(sys *testSystem, _ string) { sys.writeInvalidDigests() },
+		"a digest beyond the list's end is written": func(sys *testSystem, _ string) {
 			sys.sto.Put(string(platform.ServerDigestsTopic), platform.ServerDigestsKey, map[string]any{"by": "x", "from": 0, "to": 1 << 19})
 		},
 	}
@@ -58,7 +59,7 @@
 				sys.sendHeartbeatsExcept("server-1-1", 4*time.Second)
 				before := sys.listReadCount()
 				sys.sendHeartbeatsExcept("server-1-1", 4*time.Second)
-				chk.True(sys.listReadCount()-before <= 2*10) // One or two read each 0.4 s.
+				chk.True(sys.listReadCount()-before <= 2*10) // One or two instances read the list each 0.4 s, for 4 s.
 				job := jobSpec{id: jobID(1), tasks: 8, payload: payload{Millis: 100}}
 				chk.Equal(sys.send(sys.ctx, sys.runningProcesses()[0].name, job), http.StatusOK)
 			})
@@ -66,13 +67,14 @@
 	}
 }
 
+// writeInvalidDigests publishes digests that are unreadable or whose offsets are impossible.
 func (sys *testSystem) writeInvalidDigests() {
 	for _, val := range []any{"x", map[string]any{"by": "", "from": 9, "to": 3}, map[string]any{"by": "x", "from": -4, "to": 1 << 60}} {
 		sys.sto.Put(string(platform.ServerDigestsTopic), platform.ServerDigestsKey, val)
 	}
 }
 
-// runningProcesses returns the instances that were neither killed nor lost power.
+// runningProcesses returns the instances, by name, that were neither stopped nor killed and have not lost power.
 func (sys *testSystem) runningProcesses() []*process {
 	var prcs []*process
 	for _, name := range sys.instanceNames() {
@@ -83,7 +85,7 @@
 	return prcs
 }
 
-// reachesStore reports whether an instance reachesStore the store.
+// reachesStore reports whether an instance can connect to the store.
 func (sys *testSystem) reachesStore(prc *process) bool {
 	ctx, cancel := context.WithTimeout(sys.ctx, 100*time.Millisecond)
 	defer cancel()
@@ -94,6 +96,7 @@
 	return err == nil
 }
 
+// listReadCount returns how often the current processes have read the list of servers.
 func (sys *testSystem) listReadCount() int64 {
 	var num int64
 	for _, prc := range sys.instances {
@@ -102,7 +105,8 @@
 	return num
 }
 
-// Of twelve instances of a failure domain only two watch a leader, and the others learn late that it has lost its power.
+// Guards against instances that learn late that a leader has lost power: of the twelve instances of a failure domain only two watch it, and
+// the others learn of the loss from them.
 func TestLeaderOfALargeDomainLosesPower(t *testing.T) {
 	inTestSystem(t, 2, 12, 24, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
@@ -131,7 +135,8 @@
 	})
 }
 
-// The store turns many instances of a large system away, a whole failure domain even, and most instances hear each other seldom.
+// Guards against a configuration that doesn't reach instances that are cut off from the store within two seconds, though they are many or a
+// whole failure domain, and though most instances of a large system exchange messages seldom.
 func TestConfigurationReachesManyThatAreTurnedAway(t *testing.T) {
 	cases := map[string]func(num int, prc *process) bool{
 		"a third of all":         func(num int, _ *process) bool { return num%3 == 0 },
--- a/internal/process/daemon/load_test.go
+++ b/internal/process/daemon/load_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// TestLoadOfManyJobs sends 100 jobs a second of three tasks for ten seconds; all are done in time. Run with
-// -cpuprofile it shows where the processor time of a start goes.
+// TestLoadOfManyJobs guards against jobs that are late under a steady load of 100 jobs of three tasks per second. With -cpuprofile it shows what
+// takes processor time in a start.
 func TestLoadOfManyJobs(t *testing.T) {
 	inTestSystem(t, 3, 2, 16, func(sys *testSystem) {
 		const jobs = 1000
@@ -37,16 +37,15 @@
 }
 
 func TestNarrowLinks(t *testing.T) {
-	// Instances have links of 2 Mbit/s, and jobs of eight tasks come whose payloads fill those of the two leaders of 64
-	// servers, but not those of all eight instances. Starts took longer than their timeout, heartbeats waited behind
-	// them, sound leaders were missed, and their orders were sent again and again: nothing was done ever after.
+	// Guards against a congestion collapse that outlasts its load. Payloads fill the links of the two leaders, though not those of all eight
+	// instances: starts exceed their timeout, heartbeats wait behind them, live leaders are taken for lost, and orders are sent over and over.
 	cases := map[string]struct {
 		linkBytes, perSecond int
-		// least is the share of jobs in time under the load, in percent.
+		// least is the lowest share of jobs that must be in time under the load, in percent.
 		least int
 	}{
-		"shares of all links":      {linkBytes: 250_000, perSecond: 40, least: 95},
-		"more than all links take": {linkBytes: 125_000, perSecond: 60, least: 25},
+		"more than the leaders' links carry": {linkBytes: 250_000, perSecond: 40, least: 95},
+		"more than all links carry":          {linkBytes: 125_000, perSecond: 60, least: 25},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -56,7 +55,7 @@
 					inTime, all := sendPaddedJobs(sys, cse.perSecond, 5*time.Second)
 					t.Logf("%d of %d jobs in time", inTime, all)
 					chk.True(inTime*100 >= all*cse.least)
-					// After the load the system is what it was, for a load that the links carry with ease.
+					// After the load, nearly all jobs of a load far below the links' bandwidth must be in time again.
 					time.Sleep(2 * time.Second)
 					inTime, all = sendPaddedJobs(sys, 8, 3*time.Second)
 					t.Logf("%d of %d jobs in time afterwards", inTime, all)
@@ -68,8 +67,8 @@
 	}
 }
 
-// sendPaddedJobs sends jobs of eight tasks of 60 ms with payloads of 2.4 KB at a rate, and returns how many were answered well
-// within half a second, of how many.
+// sendPaddedJobs sends jobs of eight tasks of 60 ms with payloads of 2.4 KB at a rate, and returns how many were answered with success within half
+// a second, and how many were sent.
 func sendPaddedJobs(sys *testSystem, perSecond int, dur time.Duration) (inTime, all int) {
 	var good atomic.Int64
 	nms := sys.instanceNames()
--- a/internal/process/daemon/one_way_test.go
+++ b/internal/process/daemon/one_way_test.go
@@ -7,17 +7,14 @@
 	"time"
 )
 
-// TestOneWayCuts cuts the way from a leader to an owner, or from the owner to the leader, at moments around a job's start, while one of
-// the two stands still or neither does. The caller sends its job again, to a third instance, when it got no answer. No task
-// runs twice at once, whichever side misses the other first, and the job is answered in the end.
-//
-// Where the owner stood still for 1 s, four tasks ran twice: the leader read the orders when the way was whole again, seconds after the
-// owner had given them up, and started them.
+// TestOneWayCuts guards against tasks that run twice at once, or a job that is never answered, when the network between a leader and an owner
+// fails in one direction around a job's start, so that one side misses the other first.
 func TestOneWayCuts(t *testing.T) {
 	stalls := map[string]func(led, own *process) *process{
-		"nobody stands still":     func(_, _ *process) *process { return nil },
-		"the leader does for 1 s": func(led, _ *process) *process { return led },
-		"the owner does for 1 s":  func(_, own *process) *process { return own },
+		"no process is paused":      func(_, _ *process) *process { return nil },
+		"the leader pauses for 1 s": func(led, _ *process) *process { return led },
+		// The leader receives orders when the network has recovered, seconds after the owner has given them up, and must not start them.
+		"the owner pauses for 1 s": func(_, own *process) *process { return own },
 	}
 	for name, stall := range stalls {
 		for _, back := range []bool{false, true} {
@@ -30,6 +27,8 @@
 	}
 }
 
+// cutOneWay cuts the network from the owner to the leader, or in the other direction if back is set, for 2 s from a moment after the job was sent
+// on. Without an answer the caller sends its job again, to a third instance.
 func cutOneWay(t *testing.T, sys *testSystem, moment time.Duration, back bool, stall func(led, own *process) *process) {
 	t.Helper()
 	led, own := sys.instances["entry-1-1"], sys.instances["entry-2-1"]
@@ -37,7 +36,7 @@
 	if back {
 		from, to = to, from
 	}
-	// Four tasks fit in each domain, so that the owner sends some to the leader; some wait there.
+	// Four tasks fit in each domain, so that the owner sends some of the job's tasks to the leader, where some of them wait.
 	full := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 4, payload: payload{Millis: 700}})
 	job := jobSpec{id: jobID(2), tasks: 12, payload: payload{Millis: 900}}
 	snt := sys.sendAsync(sys.ctx, "entry-2-1", job)
--- a/internal/process/daemon/overload_test.go
+++ b/internal/process/daemon/overload_test.go
@@ -13,56 +13,65 @@
 	"github.com/matryer/is"
 )
 
-// jobKind is a kind of job: the means of what its jobs need.
+// jobKind has the mean properties of the jobs of one route.
 type jobKind struct {
-	path      string
+	path string
+	// perSecond is the rate of jobs without overload.
 	perSecond float64
 	tasks     float64
-	work      time.Duration
-	value     float64
+	// work is the run time of a task.
+	work time.Duration
+	// value is what an answer in time is worth.
+	value float64
 }
 
-// overloadKinds are the jobs of a pool of some 100 backend servers whose tasks take half of one each.
+// overloadKinds is the usual load of the 108 backend servers of runOverload, of which a task takes about half of one.
 var overloadKinds = []jobKind{
 	{path: "/thumb/", perSecond: 47, tasks: 8, work: 60 * time.Millisecond, value: 4.85},
 	{path: "/brand/", perSecond: 138, tasks: 2, work: 200 * time.Millisecond, value: 1.67},
 	{path: "/deck/", perSecond: 15, tasks: 4, work: 900 * time.Millisecond, value: 26.7},
 }
 
-// overload is a load of several times the usual for a while.
+// overload is a load of factor times the usual one for a duration, with the usual load before and after it.
 type overload struct {
-	factor  float64
-	duration  time.Duration
-	before time.Duration
-	after  time.Duration
+	factor   float64
+	duration time.Duration
+	before   time.Duration
+	after    time.Duration
 }
 
-// jobOutcome is what came of the jobs of an overload.
+// jobOutcome counts jobs by how they ended.
 type jobOutcome struct {
+	// inTime jobs were answered within their objective, late ones within three times that, useless ones later still. Failed ones got
+	// an error or no answer.
 	jobs, inTime, late, useless, refused, failed int
-	// refusedLate are the refused ones whose answers were of no use any more when their callers heard it.
-	refusedLate     int
+	// refusedLate counts the refused jobs whose callers learned of it after three times their objective, when an answer had no value any more.
+	refusedLate int
+	// offeredValue is the value of all jobs, earnedValue that of the answers.
 	offeredValue, earnedValue float64
-	// refusedAfter and failedAfter are how long callers waited to hear that.
+	// refusedAfter and failedAfter are the times from a call until it was refused or failed.
 	refusedAfter, failedAfter []time.Duration
 }
 
 func (otc *jobOutcome) add(oth *jobOutcome) {
 	otc.jobs, otc.inTime, otc.late, otc.useless = otc.jobs+oth.jobs, otc.inTime+oth.inTime, otc.late+oth.late, otc.useless+oth.useless
 	otc.refusedLate += oth.refusedLate
-	otc.refused, otc.failed, otc.offeredValue, otc.earnedValue = otc.refused+oth.refused, otc.failed+oth.failed, otc.offeredValue+oth.offeredValue, otc.earnedValue+oth.earnedValue
+	otc.refused, otc.failed, otc.offeredValue, otc.earnedValue = otc.refused+oth.refused, otc.failed+oth.failed,
+		otc.offeredValue+oth.offeredValue, otc.earnedValue+oth.earnedValue
 	otc.refusedAfter, otc.failedAfter = append(otc.refusedAfter, oth.refusedAfter...), append(otc.failedAfter, oth.failedAfter...)
 }
 
-// String returns a line of a table.
+// String returns the shares of all outcomes, the median and 90th percentile of refusedAfter, and the share of the value that was earned.
 func (otc *jobOutcome) String() string {
 	return fmt.Sprintf("%6d jobs, in time %.3f, late %.3f, of no use %.3f, refused %.3f (after %v, %v; %d late), failed %.3f, worth %.3f", otc.jobs,
 		otc.share(otc.inTime), otc.share(otc.late), otc.share(otc.useless), otc.share(otc.refused),
 		quantile(otc.refusedAfter, 0.5), quantile(otc.refusedAfter, 0.9), otc.refusedLate, otc.share(otc.failed), otc.earnedValue/max(otc.offeredValue, 1))
 }
 
+// share returns a number of jobs as a share of all.
 func (otc *jobOutcome) share(num int) float64 { return float64(num) / float64(max(otc.jobs, 1)) }
 
+// quantile returns the quantile at a share from 0 to 1, in full milliseconds; 0 if there are no values.
 func quantile(durs []time.Duration, share float64) time.Duration {
 	if len(durs) == 0 {
 		return 0
@@ -71,12 +80,13 @@
 	return durs[int(share*float64(len(durs)-1))].Round(time.Millisecond)
 }
 
-// lognormal draws around a mean with a spread of its logarithm.
+// lognormal draws from a log-normal distribution with a mean and the standard deviation of the logarithm.
 func lognormal(rnd *rand.Rand, mean, spread float64) float64 {
 	return mean * math.Exp(spread*rnd.NormFloat64()-spread*spread/2)
 }
 
-// randomJob draws a job of a shape; its estimate is off.
+// randomJob draws a job of a kind, with an estimate that errs at random, and returns it with its objective, the time within which its answer has
+// its full value.
 func (jkd *jobKind) randomJob(rnd *rand.Rand, id string) (jobSpec, time.Duration) {
 	work := time.Duration(lognormal(rnd, float64(jkd.work), 0.4))
 	objective := 60*time.Millisecond + time.Duration(1.6*float64(work))
@@ -88,7 +98,7 @@
 	return job, objective
 }
 
-// randomKind draws one of the kinds of jobs, of which so many come in a second together.
+// randomKind draws an index of overloadKinds, weighted by their rates; all is the sum of the rates.
 func randomKind(rnd *rand.Rand, all float64) int {
 	at := rnd.Float64() * all
 	for idx := range overloadKinds {
@@ -99,7 +109,7 @@
 	return len(overloadKinds) - 1
 }
 
-// sendOverload plays an overload and returns what came of the jobs that were sent in it, and of those before and after it.
+// sendOverload sends the jobs of an overload and returns the outcomes of those that were sent in it, and of those before and after it.
 func (sys *testSystem) sendOverload(rnd *rand.Rand, ovl overload) (during, rest jobOutcomes) {
 	type call struct {
 		snt       *sentJob
@@ -140,7 +150,7 @@
 	return during, rest
 }
 
-// jobOutcomes are the jobOutcomes by kind of job.
+// jobOutcomes has an outcome for each of overloadKinds.
 type jobOutcomes [3]jobOutcome
 
 func (ots *jobOutcomes) add(oth *jobOutcomes) {
@@ -149,7 +159,7 @@
 	}
 }
 
-// String returns a table with a line for all jobs.
+// String returns a table with a line for all jobs and one for each kind.
 func (ots *jobOutcomes) String() string {
 	all := ots.all()
 	txt := all.String()
@@ -159,6 +169,7 @@
 	return txt
 }
 
+// all returns the sum over all kinds.
 func (ots *jobOutcomes) all() jobOutcome {
 	var all jobOutcome
 	for idx := range ots {
@@ -167,7 +178,7 @@
 	return all
 }
 
-// record counts the end of a call. A late answer is worth a fifth, and nothing after three times the objective.
+// record counts a call that has ended. An answer after the objective earns a fifth of the value, and nothing after three times the objective.
 func (otc *jobOutcome) record(snt *sentJob, worth float64, objective time.Duration) {
 	otc.jobs++
 	otc.offeredValue += worth
@@ -192,7 +203,7 @@
 	}
 }
 
-// Jobs that are admitted in an overload wait to hear that they have not run until their answers would be of no use.
+// Guards against jobs that are admitted in an overload and are told that they have not run only when their answers would be of no use.
 func TestOverload(t *testing.T) {
 	dur, rest := runOverload(t, 0, overload{factor: 3, before: time.Second, duration: 2 * time.Second, after: time.Second})
 	all := dur.all()
@@ -200,10 +211,11 @@
 	t.Logf("before and after: %v", &rest)
 	chk := is.NewRelaxed(t)
 	chk.True(all.refusedLate*10 <= all.refused)
-	chk.True(all.inTime > all.jobs/3) // Three times what is usual: a third is no more than that.
+	chk.True(all.inTime > all.jobs/3) // A third of three times the usual load is the usual load, which the servers can carry.
 }
 
-// TestOverloads prints what becomes of the jobs of overloads, and checks what is aimed at: of those admitted, two in a hundred end unserved.
+// TestOverloads guards against overloads in which more than 2% of the admitted jobs fail or are answered too late to be of use, and prints the
+// outcomes of all jobs.
 func TestOverloads(t *testing.T) {
 	if !*measure {
 		t.Skip("it takes minutes; run with -measure")
@@ -226,6 +238,7 @@
 	}
 }
 
+// runOverload runs a system of 12 instances and 108 backend servers under an overload and returns what sendOverload does.
 func runOverload(t *testing.T, seed uint64, ovl overload) (during, rest jobOutcomes) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/process/daemon/pause_test.go
+++ b/internal/process/daemon/pause_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestAllProcessesPaused guards against callers that are refused after a moment in which no process got any processor: leaders took the time
-// that they had missed for that of their servers.
+// TestAllProcessesPaused guards against callers that are refused after no process got processor time for a while, because leaders take their own
+// pause for a silence of their servers.
 func TestAllProcessesPaused(t *testing.T) {
 	for _, dur := range []time.Duration{400 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 10 * time.Second} {
 		t.Run(fmt.Sprint(dur), func(t *testing.T) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestAllServersPaused guards against callers that are refused, with hours to wait, as all backend servers have been held up for a second.
+// TestAllServersPaused guards against callers that are refused, with an estimated wait of hours, after all backend servers were paused for a second.
 func TestAllServersPaused(t *testing.T) {
 	inTestSystem(t, 2, 1, 3, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
@@ -49,7 +49,7 @@
 			return nil
 		})
 		snts := sys.sendLoad(1, 100*time.Millisecond, 3*time.Second)
-		// Answers are of use for 0.9 s: those of the jobs that came 0.7 s after the beginning, or later.
+		// An answer is of use for 0.9 s after its job came, so that only the jobs from 0.7 s on can be answered in time after the pause of 1.2 s.
 		countStatuses(snts)
 		chk.Equal(countStatuses(snts[7:]), map[int]int{http.StatusOK: len(snts) - 7})
 	})
--- a/internal/process/daemon/random_deployments_test.go
+++ b/internal/process/daemon/random_deployments_test.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// deployment is a system that nobody has listed, and its load.
+// deployment is the size of a system and its load, drawn at random.
 type deployment struct {
 	domains, instances, servers int
-	sizes                     []int64
-	linkBytes                 int
-	kinds                     []jobSpec
-	// gap is the time between two jobs at four tenths of what the servers hold, as large tasks leave gaps there, and three of what the links carry.
+	sizes                       []int64
+	linkBytes                   int
+	kinds                       []jobSpec
+	// gap is the time between two jobs: at the mean rate they use 40% of the servers' processor, as large tasks leave parts of servers unused,
+	// or 30% of the links' bandwidth, whichever is reached first.
 	gap time.Duration
 }
 
-// randomDeployment makes a deployment of two to eight failure domains with one to four instances each, servers of one to three sizes and
-// two to four kinds of jobs: of 1 to 120 tasks that take 5 to 2,000 ms on 1 to 30 cores, with payloads of up to 4 KB.
+// randomDeployment draws a deployment of two to eight failure domains with one to four instances each, servers of one to three sizes and
+// two to four kinds of jobs: of 1 to 120 tasks that take 5 to 1,280 ms on 1 to 30 cores, with payloads of up to 2.5 KB.
 func randomDeployment(rnd *rand.Rand) deployment {
 	dpl := deployment{domains: 2 + rnd.IntN(7), instances: 1 + rnd.IntN(4), servers: 4 + rnd.IntN(24)}
 	for range 1 + rnd.IntN(3) {
@@ -53,9 +54,8 @@
 	return dpl
 }
 
-// TestRandomDeployments plays deployments drawn at random under load, while an instance loses its power and starts again. No server
-// is overfull, no task runs twice at once, no refused job has started, and nearly all callers are served: what is
-// decided by what is observed must hold for systems that nobody had in mind.
+// TestRandomDeployments guards against decisions that hold only for the deployments of other tests: overfull servers, tasks that run twice at once,
+// refused jobs that have started, or more than 5% unserved callers while an instance loses power and starts again.
 func TestRandomDeployments(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
@@ -70,6 +70,7 @@
 	}
 }
 
+// runDeployment sends the jobs of a deployment for 6 s, in which one instance loses power and starts again, and checks their outcomes.
 func runDeployment(sys *testSystem, rnd *rand.Rand, dpl deployment) {
 	const (
 		lasts = 6 * time.Second
@@ -91,7 +92,7 @@
 		}
 		to := sys.randomInstance(rnd)
 		if to == victim && !up && time.Since(began) > lost-time.Second {
-			continue // It is about to lose its power, or has.
+			continue // The instance has lost power, or will within a second.
 		}
 		job := dpl.kinds[rnd.IntN(len(dpl.kinds))]
 		job.id = jobID(len(all) + 1)
--- a/internal/process/daemon/random_test.go
+++ b/internal/process/daemon/random_test.go
@@ -9,20 +9,19 @@
 	"time"
 )
 
-// TestRandomTroubles plays a system under jobs while instances lose power, stop and start, failure domains are cut
-// off and heal, connections fall silent, servers lose answers and crash, and the store goes down, in random order
-// and overlapping. Whatever happens, no task runs twice at once, no server is overfull, refused jobs start nothing,
-// and after the last trouble jobs are served again.
+// TestRandomTroubles guards against tasks that run twice at once, overfull servers, refused jobs that have started, and jobs that aren't served
+// after the last fault, when the faults of injectRandomFault overlap in random order.
 func TestRandomTroubles(t *testing.T) {
 	seeds := []uint64{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}
-	// An instance had started again while the store was away, and others had reports for it that they sent to its former
-	// address until its callers' deadlines (25 of 150 plays of this seed).
+	// An instance starts again while the store is down, and others must not send reports for it to its former address until its callers'
+	// deadlines; in 25 of 150 runs of this seed they did.
 	seeds = append(seeds, 225)
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { runRandomFaults(t, seed) })
 	}
 }
 
+// runRandomFaults runs random jobs and faults in a system of three failure domains, ends all faults, and checks the jobs' outcomes.
 func runRandomFaults(t *testing.T, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	inTestSystem(t, 3, 2, 3, func(sys *testSystem) {
@@ -57,12 +56,13 @@
 			to := sys.randomInstance(rnd)
 			job := jobSpec{id: jobID(9000 + num), tasks: 4, payload: payload{Millis: 100}}
 			if status, body := sys.call(sys.ctx, to, job); status != http.StatusOK {
-				t.Errorf("after the troubles %s answers %d %s", to, status, body)
+				t.Errorf("after the last fault %s answers %d %s", to, status, body)
 			}
 		}
 	})
 }
 
+// taskStarts returns how often tasks of a job have started; jobs have at most six tasks.
 func (sys *testSystem) taskStarts(id string) int {
 	num := 0
 	for idx := range 6 {
@@ -71,6 +71,7 @@
 	return num
 }
 
+// instanceNames returns the names of all instances, sorted: random choices must not depend on the order of the map.
 func (sys *testSystem) instanceNames() []string {
 	var nms []string
 	for name := range sys.instances {
@@ -80,12 +81,13 @@
 	return nms
 }
 
+// randomInstance returns the name of an instance, which may have ended.
 func (sys *testSystem) randomInstance(rnd *rand.Rand) string {
 	nms := sys.instanceNames()
 	return nms[rnd.IntN(len(nms))]
 }
 
-// restartEnded starts the next life of every instance that has ended.
+// restartEnded starts the next incarnation of each instance that has ended.
 func (sys *testSystem) restartEnded() {
 	for _, name := range sys.instanceNames() {
 		prc := sys.instances[name]
@@ -93,7 +95,7 @@
 			continue
 		}
 		if !prc.poweredOff {
-			<-prc.done // A machine starts a process when the former has ended.
+			<-prc.done // A machine starts a process only once the former one has ended.
 		}
 		next := sys.startInstance(name, prc.domain)
 		if prc.poweredOff {
@@ -102,6 +104,8 @@
 	}
 }
 
+// injectRandomFault injects one fault: an instance loses power, stops, loses its open connections or is suspended, a failure domain is cut off,
+// the store goes down, or a server doesn't answer some starts. It may also heal the network, bring the store up, or restart ended instances.
 func (sys *testSystem) injectRandomFault(rnd *rand.Rand) {
 	name := sys.randomInstance(rnd)
 	switch rnd.IntN(8) {
--- a/internal/process/daemon/reach_test.go
+++ b/internal/process/daemon/reach_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// TestCutOffDomainKeepsItsLeader guards against an instance outside that takes a shard of a failure domain over which is cut off, by
-// answers of its servers from an earlier time without a leader.
+// TestCutOffDomainKeepsItsLeader guards against an instance of another failure domain that takes over the shard of a domain that is cut off,
+// because its servers have answered at an earlier time, when the shard had no leader.
 func TestCutOffDomainKeepsItsLeader(t *testing.T) {
 	for back := 500 * time.Millisecond; back <= 2500*time.Millisecond; back += 50 * time.Millisecond {
 		t.Run(fmt.Sprint("its instance is back after ", back), func(t *testing.T) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// foreignTakeovers returns how often instances outside of a failure domain have taken a shard of it over.
+// foreignTakeovers returns how often instances of other failure domains have taken over a shard of this one, by their logs.
 func foreignTakeovers(sys *testSystem, domain string) int {
 	num := 0
 	for line := range strings.Lines(sys.logText()) {
@@ -43,8 +43,8 @@
 	return num
 }
 
-// TestOutsiderThatNoServerObeys guards against tasks that are broken off at the end of a cut: an instance outside has taken the shard over, and
-// its newer token wins though none of the servers has heard of it.
+// TestOutsiderThatNoServerObeys guards against tasks that are stopped at the end of a cut: an instance of another failure domain has taken the shard
+// over, and its newer fencing token wins though no server has received it.
 func TestOutsiderThatNoServerObeys(t *testing.T) {
 	for end := 200 * time.Millisecond; end <= 1200*time.Millisecond; end += 100 * time.Millisecond {
 		t.Run(fmt.Sprint("the cut ends after ", end), func(t *testing.T) {
@@ -53,7 +53,8 @@
 	}
 }
 
-// runForeignLeader plays a cut that ends so long after the start of four tasks.
+// runForeignLeader cuts a failure domain off, has an instance of another one take its shard over, and ends the cut some time after four
+// tasks were submitted.
 func runForeignLeader(t *testing.T, sys *testSystem, end time.Duration) {
 	t.Helper()
 	chk := is.NewRelaxed(t)
--- a/internal/process/daemon/server_faults_test.go
+++ b/internal/process/daemon/server_faults_test.go
@@ -13,8 +13,8 @@
 )
 
 func TestTaskMakesNoProgress(t *testing.T) {
-	// A server's tasks stand still while it answers well. The leader sees no progress, stops them and starts them
-	// elsewhere while the caller still waits.
+	// Guards against tasks that never end because their server answers all calls but makes no progress on them. The leader has to stop them
+	// and start them elsewhere while the caller still waits.
 	inTestSystem(t, 1, 2, 2, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		began := time.Now()
@@ -25,15 +25,14 @@
 }
 
 func TestJobCannotBeDone(t *testing.T) {
-	// A job whose tasks always fail is shown as failed after as many attempts as its route allows, and the servers
-	// that it failed on go on serving others.
+	// Guards against retries without end of a task that always fails, and against servers that get no more tasks because it failed on them.
 	inTestSystem(t, 1, 1, 2, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		bad := jobSpec{id: jobID(1), tasks: 1, payload: payload{Millis: 50, Fails: true}}
 		status, body := sys.call(sys.ctx, "entry-1-1", bad)
 		chk.Equal(status, http.StatusOK)
 		chk.True(strings.Contains(body, "failed"))
-		chk.Equal(sys.ldg.Starts(jobID(1)+".0.0.0"), 3)
+		chk.Equal(sys.ldg.Starts(jobID(1)+".0.0.0"), 3) // The attempts that publishRoutes gives the route.
 		began := time.Now()
 		chk.Equal(sys.send(sys.ctx, "entry-1-1", jobSpec{id: jobID(2), tasks: 4, payload: payload{Millis: 50}}), http.StatusOK)
 		chk.True(time.Since(began) < 100*time.Millisecond)
@@ -41,7 +40,7 @@
 }
 
 func TestServerCrashes(t *testing.T) {
-	// A server goes dark with tasks on it. Their leases lapse, and they start elsewhere.
+	// Guards against tasks that are lost with their server: it crashes and answers nothing. Their leases expire, and they start elsewhere.
 	inTestSystem(t, 1, 2, 3, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		snt := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 4, payload: payload{Millis: 900}})
@@ -54,7 +53,7 @@
 }
 
 func TestServerLeaves(t *testing.T) {
-	// The list says that a server is leaving. Within half a second nothing new starts there, and what runs ends.
+	// Guards against tasks that start on a server half a second after its record says that it is draining.
 	inTestSystem(t, 1, 1, 2, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		sys.listServer("server-1-1", "domain-1", "draining")
@@ -67,8 +66,8 @@
 }
 
 func TestFrozenLeaderWakes(t *testing.T) {
-	// The machine of a leader is suspended for five seconds and wakes. Its own clock has counted that time: it
-	// gives its shards up before it sends an order, and its callers' jobs are done in the end.
+	// Guards against a leader that goes on with its stale state after its machine was suspended for five seconds. Its clock counts that time,
+	// so that it gives its shards up before it sends an order, and its callers' jobs are answered in the end.
 	inTestSystem(t, 2, 2, 2, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		led := sys.leader("domain-1")
@@ -84,12 +83,12 @@
 }
 
 func TestConfigurationInForce(t *testing.T) {
-	// Operators add and drop routes. Each version is in force everywhere within two seconds, also at an instance that
-	// the store has turned away, and when the store has dropped its history; it never reverts.
+	// Guards against a configuration that isn't in force at each instance within two seconds, or reverts later: an instance is cut off from the
+	// store, or the store has compacted its history.
 	cases := map[string]func(sys *testSystem){
-		"calm":            func(*testSystem) {},
-		"history dropped": func(sys *testSystem) { sys.sto.Compact(string(platform.ConfigurationTopic)) },
-		"one turned away": func(sys *testSystem) { sys.net.Separate(sys.instances["entry-1-1"].host, storeHost) },
+		"no fault":                            func(*testSystem) {},
+		"history compacted":                   func(sys *testSystem) { sys.sto.Compact(string(platform.ConfigurationTopic)) },
+		"one instance cut off from the store": func(sys *testSystem) { sys.net.Separate(sys.instances["entry-1-1"].host, storeHost) },
 	}
 	for name, trouble := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -112,8 +111,8 @@
 }
 
 func TestStoreIsAway(t *testing.T) {
-	// The store goes down. Jobs are served as before, a leader is replaced, and an instance that starts meanwhile
-	// refuses truthfully until the store is back, also if the store then loses the answer to its first record.
+	// Guards against jobs that aren't served, or a lost leader that isn't replaced, while the store is down. An instance that starts meanwhile
+	// answers 503 until the store is back; it must join then, even if the answer to its registration is lost.
 	inTestSystem(t, 1, 3, 2, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		sys.sto.SetDown(true)
@@ -134,8 +133,8 @@
 }
 
 func TestConnectionsFallSilent(t *testing.T) {
-	// Open connections between instances, to servers and to the store go silent for good while new ones work. Fresh
-	// connections find out within the timeouts; jobs are late at most.
+	// Guards against jobs that are lost, or instances that stay cut off, when all open connections stop delivering while new ones work, as
+	// after the failure of a stateful network device. Timeouts must lead to new connections; jobs may only be late.
 	inTestSystem(t, 2, 2, 2, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		snt := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 6, payload: payload{Millis: 900}})
@@ -158,8 +157,8 @@
 }
 
 func TestLastInstanceOfDomainGoes(t *testing.T) {
-	// A failure domain has one instance, and it loses power. An instance of another domain leads its servers, until a
-	// new instance of the domain has started and leads them again.
+	// Guards against servers that stay unused when the only instance of their failure domain loses power: an instance of another domain must
+	// lead them until a new instance of their own has started, which then leads them again.
 	inTestSystem(t, 2, 1, 2, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		sys.powerOff("entry-2-1")
@@ -176,8 +175,8 @@
 }
 
 func TestSameJobAtTwoInstances(t *testing.T) {
-	// A caller that lost its connection unnoticed sends its job again to another instance while the first still
-	// works on it. A leader that has the task of both stops the first run before it starts the second.
+	// Guards against tasks that run twice at once when a caller sends its job to another instance while the first still works on it. A leader
+	// that has an order for the same task from both must stop the first run before it starts the second.
 	inTestSystem(t, 1, 2, 4, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		job := jobSpec{id: jobID(1), tasks: 2, payload: payload{Millis: 600}}
@@ -188,9 +187,8 @@
 }
 
 func TestAllLosePower(t *testing.T) {
-	// All instances lose their power and start again. Requests that reach them before the shards have leaders wait
-	// for that instead of being refused. Nothing runs anywhere, so that nobody has to be waited for: tasks of 100 ms are
-	// done 0.24 to 0.34 s after the processes are up. That was 0.40 s while each take-over waited for orders.
+	// Guards against requests that are refused, or wait for longer than needed, because no shard has a leader yet: all instances lose power and
+	// start again.
 	inTestSystem(t, 2, 2, 2, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		for _, name := range sys.instanceNames() {
@@ -209,14 +207,15 @@
 			chk.Equal(snt.status, http.StatusOK)
 		}
 		t.Logf("all are done after %s", time.Since(began))
+		// The tasks are done 0.24 to 0.34 s after the start, as nothing runs that a takeover would have to wait for; it takes 0.40 s if each
+		// takeover waits for orders.
 		chk.True(time.Since(began) < 380*time.Millisecond)
 	})
 }
 
 func TestSlowServers(t *testing.T) {
-	// A sixth of the servers takes six times as long for whatever it runs, and answers well. Most jobs of eight tasks have
-	// one there and are late, until the servers are found out by the other tasks of the same jobs. When they are fast
-	// again they serve again.
+	// Guards against jobs that are late for good because a sixth of the servers runs tasks six times as slowly while it answers all calls. They
+	// must be detected by the run times of sibling tasks, and get tasks again once they are fast.
 	inTestSystem(t, 1, 1, 12, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		slow := func(times int) {
@@ -225,7 +224,7 @@
 			}
 		}
 		first := 0
-		// play sends 15 jobs a second of 60 or 300 ms and returns the share that was done in time.
+		// play sends 15 jobs a second of 60 or 300 ms and returns the share that was done in time: in twice the run time and 30 ms.
 		play := func(dur time.Duration) float64 {
 			var done []*sentJob
 			var limits []time.Duration
@@ -249,7 +248,7 @@
 		}
 		chk.Equal(play(time.Second), 1.0)
 		slow(6)
-		before := play(time.Second)
+		before := play(time.Second) // Most jobs of eight tasks have one on a slow server.
 		after := play(5 * time.Second)
 		slow(1)
 		play(5 * time.Second)
@@ -262,8 +261,8 @@
 }
 
 func TestEntriesOfAnotherWriter(t *testing.T) {
-	// Records of another writer stand in the list: bytes that can't be read, a state and a service that nobody knows. Nobody
-	// is called for them, and the other servers go on serving; a server whose own record was spoilt serves again with the next.
+	// Guards against invalid records of another writer in the list of servers: unreadable ones, or with an unknown state or service. No address in
+	// them may be called, the other servers stay in use, and a server whose record was overwritten is used again from its next record on.
 	inTestSystem(t, 1, 2, 3, func(sys *testSystem) {
 		chk := is.NewRelaxed(t)
 		topic := string(platform.ServersTopic)
--- a/internal/process/daemon/stall_test.go
+++ b/internal/process/daemon/stall_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// TestStalledProcesses stands processes still for up to 2.5 s, as ones that get no processor: they see no time pass, hear nobody, and
-// then everything at once, also what its senders have given up on. Whatever they do then, no task runs twice at once.
-//
-// In seeds 53 and 206 a leader went on with a token that servers obeyed no more, owners asked it for tasks that its successor ran, and
-// it gave them back as not run ("report" "not-run" at the time of the order that "followed").
+// TestStalledProcesses guards against tasks that run twice at once after processes got no processor time for up to 2.5 s: they receive all
+// messages of that time at once afterwards, also those that their senders have given up on.
 func TestStalledProcesses(t *testing.T) {
+	// In seeds 53 and 206 a paused leader resumes with a fencing token that servers no longer accept, and owners send it orders for tasks that
+	// its successor runs. It must not report these tasks as not run (logged as "report" "not-run" when the order that "followed" arrives).
 	for _, seed := range []uint64{0, 1, 53, 206} {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { runProcessPauses(t, seed) })
 	}
 }
 
+// runProcessPauses runs a system of random size under random jobs, and pauses processes at random.
 func runProcessPauses(t *testing.T, seed uint64) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 7))
@@ -47,7 +47,7 @@
 	})
 }
 
-// pauseRandomProcess stands a process still for a while, if it does not stand still already.
+// pauseRandomProcess picks an instance at random and pauses its process for 50 ms to 2.55 s, unless it has ended or is paused already.
 func (sys *testSystem) pauseRandomProcess(rnd *rand.Rand) {
 	name := sys.randomInstance(rnd)
 	dur := time.Duration(50+rnd.IntN(2500)) * time.Millisecond
@@ -61,24 +61,24 @@
 	})
 }
 
-// TestStalledAmongTroubles adds the other troubles and callers that send their jobs again, to another instance, 1.3 s after they got no
-// answer.
-//
-// In seed 211 a leader that had stood still for 2 s saw room before it saw that the owners of its queue were gone, and started what they
-// had started elsewhere by then ("start", 50 ms before "instance lost" and the "stop"). In seed 126 a leader started a task anew, at a
-// server that still obeyed it, 4 ms after it had heard of its successor and had sent that one the task's order; the successor
-// knew the server where the task had run last, and gave it back as not run.
+// TestStalledAmongTroubles guards against tasks that run twice at once when pauses, the faults of TestRandomTroubles, and callers that send their
+// jobs again to another instance 1.3 s after a call without an answer come together.
 func TestStalledAmongTroubles(t *testing.T) {
+	// In seed 211 a leader that was paused for 2 s sees free capacity before it learns that the owners of its queued tasks are lost. It must not
+	// start these tasks, which the owners have started elsewhere by then (logged as "start" 50 ms before "instance lost" and the "stop").
+	// In seed 126 a leader learns of its successor and sends it the order of a task. It must not start the task again 4 ms later at a server
+	// that still accepts its token: the successor knows only the server of the former run, and reports the task as not run.
 	for _, seed := range []uint64{0, 1, 126, 211} {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { runPausesAndFaults(t, seed) })
 	}
 }
 
+// runPausesAndFaults is runProcessPauses with other faults too, and with callers that send their jobs again.
 func runPausesAndFaults(t *testing.T, seed uint64) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 9))
 	inTestSystem(t, 2+rnd.IntN(2), 1+rnd.IntN(3), 2+rnd.IntN(3), func(sys *testSystem) {
-		// turn is held by whoever reads or changes the instances.
+		// turn is a lock for the map of instances, which callers read while faults change it.
 		turn := make(chan struct{}, 1)
 		inTurn := func(do func()) {
 			turn <- struct{}{}
@@ -115,8 +115,8 @@
 	})
 }
 
-// sendUntilAnswered sends a job, and after each try without an answer again to another instance. Some callers break their first
-// connection early.
+// sendUntilAnswered sends a job, and after each call without an answer sends it again, to another instance, up to four calls in all. One in
+// six callers closes its first connection within 600 ms. The returned channel is closed after the last call.
 func (sys *testSystem) sendUntilAnswered(rnd *rand.Rand, inTurn func(func()), job jobSpec) chan struct{} {
 	const tries = 4
 	var names [tries]string
--- a/internal/process/daemon/system_test.go
+++ b/internal/process/daemon/system_test.go
@@ -24,18 +24,18 @@
 // testSystem runs a whole system in one process: real daemons, and stand-ins for the store, the backend servers and the callers,
 // connected by a simulated network.
 type testSystem struct {
-	t       testing.TB
-	net     *pipe.Network
-	grp     *errgroup.Group
-	ctx     context.Context //nolint:containedctx // the life of the test's processes
-	sto     *standin.Store
-	ldg     *standin.Ledger
-	servers map[string]*standin.Server
+	t         testing.TB
+	net       *pipe.Network
+	grp       *errgroup.Group
+	ctx       context.Context //nolint:containedctx // the life of the test's processes
+	sto       *standin.Store
+	ldg       *standin.Ledger
+	servers   map[string]*standin.Server
 	instances map[string]*process
 	// formerProcesses are the earlier incarnations of instances that were started again.
-	formerProcesses  []*process
-	configVersion int
-	lastNumber   int
+	formerProcesses []*process
+	configVersion   int
+	lastNumber      int
 	// linkBytes is the bandwidth of each instance's network link in bytes per second; 0 for no limit.
 	linkBytes int
 	// domains are the failure domains in the settings of each instance.
@@ -57,7 +57,7 @@
 	ended bool
 	// poweredOff is set once the machine of the process has lost power.
 	poweredOff bool
-	mu   sync.Mutex
+	mu         sync.Mutex
 	// suspendedFor is the total time for which the machine was suspended; the process's clock counts it.
 	suspendedFor time.Duration
 	// pausedSince is when the process stopped getting processor time; zero while it runs.
