--- a/internal/process/daemon/callers_test.go
+++ b/internal/process/daemon/callers_test.go
@@ -24,18 +24,18 @@
 }
 
 // send submits a job to an instance and returns the status, 0 if there was no answer.
-func (sys *testSystem) send(ctx context.Context, to string, job jobSpec) int {
+func (sys *system) send(ctx context.Context, to string, job jobSpec) int {
 	status, _ := sys.call(ctx, to, job)
 	return status
 }
 
 // call is send that also returns the body of the answer, or the error's text.
-func (sys *testSystem) call(ctx context.Context, to string, job jobSpec) (int, string) {
+func (sys *system) call(ctx context.Context, to string, job jobSpec) (int, string) {
 	return sys.callHost(ctx, sys.instances[to].host, job)
 }
 
 // callHost is call for the machine of an instance's incarnation.
-func (sys *testSystem) callHost(ctx context.Context, host string, job jobSpec) (int, string) {
+func (sys *system) callHost(ctx context.Context, host string, job jobSpec) (int, string) {
 	if job.path == "" {
 		job.path = "/thumb/"
 	}
@@ -59,14 +59,14 @@
 }
 
 // client returns a caller that opens a new connection for each call.
-func (sys *testSystem) client() *standin.Client {
+func (sys *system) client() *standin.Client {
 	return standin.NewClient(&http.Client{
 		Transport: &http.Transport{DialContext: sys.net.Dialer(clientHost), DisableKeepAlives: true},
 	})
 }
 
 // queryQueue asks an instance about a queue and returns the status, 0 if there was no answer.
-func (sys *testSystem) queryQueue(at, path string) int {
+func (sys *system) queryQueue(at, path string) int {
 	rep, err := sys.client().Queue(sys.ctx, sys.instances[at].host+":1", path)
 	if err != nil {
 		return 0
@@ -83,7 +83,7 @@
 }
 
 // sendAsync submits a job to an instance in the background.
-func (sys *testSystem) sendAsync(ctx context.Context, to string, job jobSpec) *sentJob {
+func (sys *system) sendAsync(ctx context.Context, to string, job jobSpec) *sentJob {
 	snt := &sentJob{done: make(chan struct{})}
 	// The address is looked up before the call starts: a later incarnation of the instance has another one.
 	host := sys.instances[to].host
--- a/internal/process/daemon/closed_test.go
+++ b/internal/process/daemon/closed_test.go
@@ -16,13 +16,13 @@
 const closingDelay = time.Second
 
 // closeDomain closes a failure domain, as an operator does. After closingDelay the ledger notes each start there as a violation.
-func (sys *testSystem) closeDomain(domain string) {
+func (sys *system) closeDomain(domain string) {
 	sys.sto.CloseDomain(domain)
 	sys.ldg.Close(serversOf(domain), time.Now().Add(closingDelay))
 }
 
 // openDomain opens a closed failure domain again.
-func (sys *testSystem) openDomain(domain string) {
+func (sys *system) openDomain(domain string) {
 	sys.sto.OpenDomain(domain)
 	sys.ldg.Open(serversOf(domain))
 }
@@ -32,7 +32,7 @@
 
 // sendLoad sends jobs at a regular interval for a while, to the running instances in turn, and returns the calls; the jobs are numbered from
 // first on.
-func (sys *testSystem) sendLoad(first int, every, dur time.Duration) []*sentJob {
+func (sys *system) sendLoad(first int, every, dur time.Duration) []*sentJob {
 	var snts []*sentJob
 	for num := first; dur > 0; dur -= every {
 		prcs := sys.runningProcesses()
@@ -58,12 +58,12 @@
 // Guards against tasks that start in a closed failure domain, because an instance has not learned of the closing, has just taken a shard over,
 // or has just started.
 func TestClosedDomainGetsNoWork(t *testing.T) {
-	cases := map[string]func(sys *testSystem){
-		"nothing happens":        func(*testSystem) {},
-		"its leader loses power": func(sys *testSystem) { sys.powerOff(sys.leader("domain-2")) },
-		"its leader stops":       func(sys *testSystem) { sys.instances[sys.leader("domain-2")].stop() },
-		"an instance starts":     func(sys *testSystem) { sys.startInstance("entry-2-9", "domain-2") },
-		"its instances all lose power and start again": func(sys *testSystem) {
+	cases := map[string]func(sys *system){
+		"nothing happens":        func(*system) {},
+		"its leader loses power": func(sys *system) { sys.powerOff(sys.leader("domain-2")) },
+		"its leader stops":       func(sys *system) { sys.instances[sys.leader("domain-2")].stop() },
+		"an instance starts":     func(sys *system) { sys.startInstance("entry-2-9", "domain-2") },
+		"its instances all lose power and start again": func(sys *system) {
 			for _, prc := range sys.runningProcesses() {
 				if prc.domain == "domain-2" {
 					sys.powerOff(prc.name)
@@ -73,33 +73,33 @@
 			sys.startInstance("entry-2-1", "domain-2")
 			sys.startInstance("entry-2-2", "domain-2")
 		},
-		"its leader is suspended": func(sys *testSystem) {
+		"its leader is suspended": func(sys *system) {
 			prc := sys.instances[sys.leader("domain-2")]
 			sys.net.Separate(prc.host, storeHost)
 			prc.addSuspension(2 * time.Second)
 			time.Sleep(time.Second)
 			sys.net.Heal()
 		},
-		"its instances are cut off from the store": func(sys *testSystem) {
+		"its instances are cut off from the store": func(sys *system) {
 			for _, prc := range sys.runningProcesses() {
 				if prc.domain == "domain-2" {
 					sys.net.Separate(prc.host, storeHost)
 				}
 			}
 		},
-		"the store is down": func(sys *testSystem) { sys.sto.SetDown(true) },
-		"the history is compacted": func(sys *testSystem) {
+		"the store is down": func(sys *system) { sys.sto.SetDown(true) },
+		"the history is compacted": func(sys *system) {
 			sys.sto.Compact(string(platform.ConfigurationTopic))
 			sys.publishRoutes("/thumb/", "/deck/")
 		},
-		"another writer writes invalid records": func(sys *testSystem) {
+		"another writer writes invalid records": func(sys *system) {
 			sys.sto.Put(string(platform.ConfigurationTopic), "evacuate/domain-2", "no")
 			sys.sto.CloseDomain("")
 		},
 	}
 	for name, trouble := range cases {
 		t.Run(name, func(t *testing.T) {
-			inTestSystem(t, 3, 2, 3, func(sys *testSystem) {
+			inTestSystem(t, 3, 2, 3, func(sys *system) {
 				chk := is.NewRelaxed(t)
 				all := sys.sendLoad(0, 30*time.Millisecond, time.Second)
 				sys.closeDomain("domain-2")
@@ -116,7 +116,7 @@
 
 // Guards against tasks that stay queued in a failure domain until their deadlines after it was closed.
 func TestClosedDomainGivesWaitingWorkBack(t *testing.T) {
-	inTestSystem(t, 2, 1, 1, func(sys *testSystem) {
+	inTestSystem(t, 2, 1, 1, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		long := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 4, payload: payload{Millis: 800}})
 		time.Sleep(50 * time.Millisecond)
@@ -137,7 +137,7 @@
 
 // Guards against callers that wait until their deadlines while all failure domains are closed and no server may get a task.
 func TestAllDomainsAreClosed(t *testing.T) {
-	inTestSystem(t, 2, 2, 2, func(sys *testSystem) {
+	inTestSystem(t, 2, 2, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		sys.closeDomain("domain-1")
 		sys.closeDomain("domain-2")
@@ -160,7 +160,7 @@
 // Guards against callers that wait until their deadlines in a closed failure domain that is cut off: its instances reach no server that may be
 // used.
 func TestClosedDomainIsCutOff(t *testing.T) {
-	inTestSystem(t, 3, 2, 2, func(sys *testSystem) {
+	inTestSystem(t, 3, 2, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		sys.closeDomain("domain-1")
 		time.Sleep(500 * time.Millisecond)
@@ -179,18 +179,14 @@
 // Guards against a failure domain that gets no tasks after it was opened again, because its instances don't learn of the opening, or learn of
 // it several times.
 func TestDomainIsOpenedAgain(t *testing.T) {
-	cases := map[string]func(sys *testSystem){
-		"by its record": func(sys *testSystem) { sys.openDomain("domain-1") },
-		"and closed and opened again at once": func(sys *testSystem) {
-			sys.openDomain("domain-1")
-			sys.closeDomain("domain-1")
-			sys.openDomain("domain-1")
-		},
-		"and the history is compacted": func(sys *testSystem) {
+	cases := map[string]func(sys *system){
+		"by its record":                       func(sys *system) { sys.openDomain("domain-1") },
+		"and closed and opened again at once": func(sys *system) { sys.openDomain("domain-1"); sys.closeDomain("domain-1"); sys.openDomain("domain-1") },
+		"and the history is compacted": func(sys *system) {
 			sys.openDomain("domain-1")
 			sys.sto.Compact(string(platform.ConfigurationTopic))
 		},
-		"while the store is down": func(sys *testSystem) {
+		"while the store is down": func(sys *system) {
 			sys.sto.SetDown(true)
 			sys.openDomain("domain-1")
 			time.Sleep(2 * time.Second)
@@ -199,7 +195,7 @@
 	}
 	for name, open := range cases {
 		t.Run(name, func(t *testing.T) {
-			inTestSystem(t, 2, 1, 2, func(sys *testSystem) {
+			inTestSystem(t, 2, 1, 2, func(sys *system) {
 				chk := is.NewRelaxed(t)
 				sys.closeDomain("domain-1")
 				time.Sleep(1500 * time.Millisecond)
@@ -218,7 +214,7 @@
 
 // Guards against jobs that aren't served because thousands of records close failure domains that don't exist.
 func TestManyClosingsOfUnknownDomains(t *testing.T) {
-	inTestSystem(t, 2, 1, 1, func(sys *testSystem) {
+	inTestSystem(t, 2, 1, 1, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		for num := range 2000 {
 			sys.sto.CloseDomain(fmt.Sprint("none-", num))
--- a/internal/process/daemon/entries_test.go
+++ b/internal/process/daemon/entries_test.go
@@ -19,14 +19,14 @@
 	// reports the tasks on the others as not run, and they start elsewhere up to 40 ms before the leases of their first runs have expired.
 	for back := 50 * time.Millisecond; back <= 950*time.Millisecond; back += 100 * time.Millisecond {
 		t.Run(fmt.Sprint("back-after-", back), func(t *testing.T) {
-			inTestSystem(t, 2, 2, 4, func(sys *testSystem) { expireServerEntries(t, sys, back) })
+			inTestSystem(t, 2, 2, 4, func(sys *system) { expireServerEntries(t, sys, back) })
 		})
 	}
 }
 
 // expireServerEntries removes the records of all servers of a failure domain that is cut off, ends the cut, and writes the records again from
 // some time after that on.
-func expireServerEntries(t *testing.T, sys *testSystem, back time.Duration) {
+func expireServerEntries(t *testing.T, sys *system, back time.Duration) {
 	t.Helper()
 	chk := is.NewRelaxed(t)
 	sys.cut("domain-1")
--- a/internal/process/daemon/grown_bench_test.go
+++ b/internal/process/daemon/grown_bench_test.go
@@ -17,7 +17,7 @@
 	var looks int64
 	for ben.Loop() {
 		began := processorTime(ben)
-		runTestSystem(ben, 3, 13, 117, func(sys *testSystem) {
+		runTestSystem(ben, 3, 13, 117, func(sys *system) {
 			rnd := rand.New(rand.NewPCG(1, 1))
 			kinds := []jobSpec{
 				{tasks: 8, payload: payload{Millis: 60}}, {tasks: 4, payload: payload{Millis: 900}}, {tasks: 2, payload: payload{Millis: 200}},
--- a/internal/process/daemon/idle_test.go
+++ b/internal/process/daemon/idle_test.go
@@ -51,7 +51,7 @@
 	const domains = 5
 	var got idleUse
 	synctest.Test(t, func(t *testing.T) {
-		runTestSystem(t, domains, instances/domains, idleServers*instances/domains, func(sys *testSystem) {
+		runTestSystem(t, domains, instances/domains, idleServers*instances/domains, func(sys *system) {
 			// A new instance reads the list in full and calls all others; this isn't measured.
 			sys.sendHeartbeats(6 * time.Second)
 			before := sys.resourceUse()
@@ -68,10 +68,10 @@
 }
 
 // sendHeartbeats writes the record of each server every 1.5 s, spread evenly over that time, for a while.
-func (sys *testSystem) sendHeartbeats(dur time.Duration) { sys.sendHeartbeatsExcept("", dur) }
+func (sys *system) sendHeartbeats(dur time.Duration) { sys.sendHeartbeatsExcept("", dur) }
 
 // sendHeartbeatsExcept is sendHeartbeats with one server that writes nothing.
-func (sys *testSystem) sendHeartbeatsExcept(silent string, dur time.Duration) {
+func (sys *system) sendHeartbeatsExcept(silent string, dur time.Duration) {
 	const interval = 1500 * time.Millisecond
 	nms := slices.DeleteFunc(slices.Sorted(maps.Keys(sys.servers)), func(id string) bool { return id == silent })
 	pause := interval / time.Duration(len(nms))
@@ -86,7 +86,7 @@
 }
 
 // resourceUse returns what all current instances have used so far.
-func (sys *testSystem) resourceUse() idleUse {
+func (sys *system) resourceUse() idleUse {
 	var sum idleUse
 	for _, prc := range sys.instances {
 		sts := prc.dmn.mesh.Stats()
--- a/internal/process/daemon/instance_faults_test.go
+++ b/internal/process/daemon/instance_faults_test.go
@@ -16,7 +16,7 @@
 
 func TestJobsAreAnsweredWithoutFaults(t *testing.T) {
 	// Guards against jobs that are answered late, or not at all, while nothing fails, at whichever instance they are submitted.
-	inTestSystem(t, 3, 2, 3, func(sys *testSystem) {
+	inTestSystem(t, 3, 2, 3, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		for num, name := range []string{"entry-1-1", "entry-1-2", "entry-2-1", "entry-3-2"} {
 			began := time.Now()
@@ -31,7 +31,7 @@
 func TestWideJobUsesAllDomains(t *testing.T) {
 	// Guards against tasks that wait in their job's own failure domain while others have free capacity: of 16 tasks, 4 fit in the two servers
 	// of the own domain.
-	inTestSystem(t, 4, 1, 2, func(sys *testSystem) {
+	inTestSystem(t, 4, 1, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		began := time.Now()
 		status := sys.send(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 16, payload: payload{Millis: 500}})
@@ -43,7 +43,7 @@
 func TestWaitingTasksMoveToFreeRoom(t *testing.T) {
 	// Guards against tasks that stay queued in a failure domain that is busy for long after capacity has become free in another one.
 	// They are recalled and start there.
-	inTestSystem(t, 2, 1, 1, func(sys *testSystem) {
+	inTestSystem(t, 2, 1, 1, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		long := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 2, payload: payload{Millis: 3000}})
 		time.Sleep(100 * time.Millisecond)
@@ -64,7 +64,7 @@
 func TestLeaderLosesPower(t *testing.T) {
 	// Guards against a job that gets no answer, or whose tasks run twice at once, when the leader of its shard loses power. The owner takes the
 	// shard over and finds the tasks still running, or ended because their leases have expired.
-	inTestSystem(t, 2, 2, 3, func(sys *testSystem) {
+	inTestSystem(t, 2, 2, 3, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		led := sys.leader("domain-1")
 		oth := map[string]string{"entry-1-1": "entry-1-2", "entry-1-2": "entry-1-1"}[led]
@@ -79,7 +79,7 @@
 func TestLeaderStopsAsPlanned(t *testing.T) {
 	// Guards against runs that are stopped, or answers that don't reach their callers, when the leader of a shard stops as planned (SIGTERM)
 	// while tasks of its own callers and of another instance's run.
-	inTestSystem(t, 2, 2, 3, func(sys *testSystem) {
+	inTestSystem(t, 2, 2, 3, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		led := sys.leader("domain-1")
 		oth := map[string]string{"entry-1-1": "entry-1-2", "entry-1-2": "entry-1-1"}[led]
@@ -106,7 +106,7 @@
 func TestOwnerLosesPower(t *testing.T) {
 	// Guards against tasks that run twice at once when a job's owner loses power and the caller sends the job again to another instance 1.3 s
 	// later. Nothing marks it as sent again, so that all runs of the first attempt must have been stopped by then.
-	inTestSystem(t, 2, 2, 3, func(sys *testSystem) {
+	inTestSystem(t, 2, 2, 3, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		led := sys.leader("domain-1")
 		own := map[string]string{"entry-1-1": "entry-1-2", "entry-1-2": "entry-1-1"}[led]
@@ -125,7 +125,7 @@
 func TestLeaderAndOwnerLosePower(t *testing.T) {
 	// Guards against tasks that run twice at once when a job's owner, which also leads its shard, loses power and the caller sends the job again.
 	// The new leader gets no orders for these runs and must stop them before it renews any lease.
-	inTestSystem(t, 2, 2, 3, func(sys *testSystem) {
+	inTestSystem(t, 2, 2, 3, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		led := sys.leader("domain-1")
 		oth := map[string]string{"entry-1-1": "entry-1-2", "entry-1-2": "entry-1-1"}[led]
@@ -141,7 +141,7 @@
 
 func TestCallerLeaves(t *testing.T) {
 	// Guards against runs that go on after their caller has closed the connection: it may send the job to another instance at once.
-	inTestSystem(t, 2, 1, 2, func(sys *testSystem) {
+	inTestSystem(t, 2, 1, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		ctx, leave := context.WithCancel(sys.ctx)
 		snt := sys.sendAsync(ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 6, payload: payload{Millis: 2500}})
@@ -157,7 +157,7 @@
 func TestDomainIsCutOff(t *testing.T) {
 	// Guards against callers that aren't served while a failure domain is cut off from the others and the store, and against runs that are stopped
 	// at the end of the cut because the shard gets another leader.
-	inTestSystem(t, 3, 2, 3, func(sys *testSystem) {
+	inTestSystem(t, 3, 2, 3, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		led := sys.leader("domain-2")
 		sys.cut("domain-2")
@@ -182,7 +182,7 @@
 func TestCutDuringWork(t *testing.T) {
 	// Guards against tasks that run twice at once, or are never answered, when the domain where they run is cut off from their owner's. Both sides
 	// must wait until the runs are surely over before the tasks start elsewhere.
-	inTestSystem(t, 2, 1, 2, func(sys *testSystem) {
+	inTestSystem(t, 2, 1, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		snt := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 8, payload: payload{Millis: 900}})
 		time.Sleep(200 * time.Millisecond)
@@ -199,7 +199,7 @@
 	// the start for failed: it sends stops until the server confirms, and starts the task elsewhere only then.
 	for name, late := range map[string]time.Duration{"within the timeout": 100 * time.Millisecond, "seconds": 3 * time.Second} {
 		t.Run(name, func(t *testing.T) {
-			inTestSystem(t, 1, 2, 3, func(sys *testSystem) {
+			inTestSystem(t, 1, 2, 3, func(sys *system) {
 				chk := is.NewRelaxed(t)
 				for _, srv := range sys.servers {
 					srv.LoseAnswers(1, late) // The next start.
@@ -233,7 +233,7 @@
 func TestShardGoesToAFreshInstanceWhoseListIsShort(t *testing.T) {
 	// Guards against tasks that run twice at once after a takeover by a new instance that never saw the record of a live server: the record
 	// expired before it started. Tasks there must not start elsewhere before the lease from the former leader has expired.
-	inTestSystem(t, 2, 1, 3, func(sys *testSystem) {
+	inTestSystem(t, 2, 1, 3, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		job := jobSpec{id: jobID(1), tasks: 8, payload: payload{Millis: 2500}, patience: 8 * time.Second}
 		snt := sys.sendAsync(sys.ctx, "entry-2-1", job)
@@ -252,7 +252,7 @@
 func TestLeaderStopsWhileAServerIsNotListed(t *testing.T) {
 	// Guards against runs that are stopped at a takeover because the record of their live server has expired: the leader stops as planned, and the new
 	// one, which saw the record before, has to take that server over with the others.
-	inTestSystem(t, 2, 2, 3, func(sys *testSystem) {
+	inTestSystem(t, 2, 2, 3, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		snt := sys.sendAsync(sys.ctx, "entry-2-1", jobSpec{id: jobID(1), tasks: 8, payload: payload{Millis: 2500}})
 		time.Sleep(300 * time.Millisecond)
@@ -271,7 +271,7 @@
 func TestServerIsAddedWhileTheStoreTurnsAnInstanceAway(t *testing.T) {
 	// Guards against tasks that run twice at once after a takeover by an instance that was cut off from the store when a server was added.
 	// Its list was complete once, and the leader is killed before it has reported that tasks run on the new server.
-	inTestSystem(t, 2, 2, 2, func(sys *testSystem) {
+	inTestSystem(t, 2, 2, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		led := sys.leader("domain-1")
 		oth := map[string]string{"entry-1-1": "entry-1-2", "entry-1-2": "entry-1-1"}[led]
--- a/internal/process/daemon/list_test.go
+++ b/internal/process/daemon/list_test.go
@@ -13,7 +13,7 @@
 )
 
 // listReader returns the name of the instance that reads the list of servers for the others; empty if there is none.
-func (sys *testSystem) listReader() string {
+func (sys *system) listReader() string {
 	for name, prc := range sys.instances {
 		prc.dmn.mu.Lock()
 		first := prc.dmn.council != nil && prc.dmn.readersBefore() == 0
@@ -28,21 +28,21 @@
 // Guards against instances that don't learn within two seconds that a server is draining, because the instance that reads the list of servers
 // for them is lost, or because the digests that it publishes are missing or invalid.
 func TestReaderOfTheListIsLost(t *testing.T) {
-	cases := map[string]func(sys *testSystem, reader string){
-		"nothing happens":                   func(*testSystem, string) {},
-		"it is killed":                      func(sys *testSystem, reader string) { sys.kill(reader) },
-		"it loses power":                    func(sys *testSystem, reader string) { sys.powerOff(reader) },
-		"it is cut off from the store":      func(sys *testSystem, reader string) { sys.net.Separate(sys.instances[reader].host, storeHost) },
-		"the list's history is compacted":   func(sys *testSystem, _ string) { sys.sto.Compact(string(platform.ServersTopic)) },
-		"the digests' history is compacted": func(sys *testSystem, _ string) { sys.sto.Compact(string(platform.ServerDigestsTopic)) },
-		"invalid digests are written":       func(sys *testSystem, _ string) { sys.writeInvalidDigests() },
-		"a digest beyond the list's end is written": func(sys *testSystem, _ string) {
+	cases := map[string]func(sys *system, reader string){
+		"nothing happens":                   func(*system, string) {},
+		"it is killed":                      func(sys *system, reader string) { sys.kill(reader) },
+		"it loses power":                    func(sys *system, reader string) { sys.powerOff(reader) },
+		"it is cut off from the store":      func(sys *system, reader string) { sys.net.Separate(sys.instances[reader].host, storeHost) },
+		"the list's history is compacted":   func(sys *system, _ string) { sys.sto.Compact(string(platform.ServersTopic)) },
+		"the digests' history is compacted": func(sys *system, _ string) { sys.sto.Compact(string(platform.ServerDigestsTopic)) },
+		"invalid digests are written":       func(sys *system, _ string) { sys.writeInvalidDigests() },
+		"a digest beyond the list's end is written": func(sys *system, _ string) {
 			sys.sto.Put(string(platform.ServerDigestsTopic), platform.ServerDigestsKey, map[string]any{"by": "x", "from": 0, "to": 1 << 19})
 		},
 	}
 	for name, trouble := range cases {
 		t.Run(name, func(t *testing.T) {
-			inTestSystem(t, 2, 3, 3, func(sys *testSystem) {
+			inTestSystem(t, 2, 3, 3, func(sys *system) {
 				chk := is.NewRelaxed(t)
 				sys.sendHeartbeats(3 * time.Second)
 				trouble(sys, sys.listReader())
@@ -68,14 +68,14 @@
 }
 
 // writeInvalidDigests publishes digests that are unreadable or whose offsets are impossible.
-func (sys *testSystem) writeInvalidDigests() {
+func (sys *system) writeInvalidDigests() {
 	for _, val := range []any{"x", map[string]any{"by": "", "from": 9, "to": 3}, map[string]any{"by": "x", "from": -4, "to": 1 << 60}} {
 		sys.sto.Put(string(platform.ServerDigestsTopic), platform.ServerDigestsKey, val)
 	}
 }
 
 // runningProcesses returns the instances, by name, that were neither stopped nor killed and have not lost power.
-func (sys *testSystem) runningProcesses() []*process {
+func (sys *system) runningProcesses() []*process {
 	var prcs []*process
 	for _, name := range sys.instanceNames() {
 		if prc := sys.instances[name]; !prc.dmn.leaving.Load() {
@@ -86,7 +86,7 @@
 }
 
 // reachesStore reports whether an instance can connect to the store.
-func (sys *testSystem) reachesStore(prc *process) bool {
+func (sys *system) reachesStore(prc *process) bool {
 	ctx, cancel := context.WithTimeout(sys.ctx, 100*time.Millisecond)
 	defer cancel()
 	con, err := sys.net.Dialer(prc.host)(ctx, "tcp", storeHost+":1")
@@ -97,7 +97,7 @@
 }
 
 // listReadCount returns how often the current processes have read the list of servers.
-func (sys *testSystem) listReadCount() int64 {
+func (sys *system) listReadCount() int64 {
 	var num int64
 	for _, prc := range sys.instances {
 		num += prc.dmn.cnt.listReads.Load()
@@ -108,7 +108,7 @@
 // Guards against instances that learn late that a leader has lost power: of the twelve instances of a failure domain only two watch it, and
 // the others learn of the loss from them.
 func TestLeaderOfALargeDomainLosesPower(t *testing.T) {
-	inTestSystem(t, 2, 12, 24, func(sys *testSystem) {
+	inTestSystem(t, 2, 12, 24, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		time.Sleep(time.Second)
 		led := sys.leader("domain-1")
@@ -144,7 +144,7 @@
 	}
 	for name, away := range cases {
 		t.Run(name, func(t *testing.T) {
-			inTestSystem(t, 3, 12, 2, func(sys *testSystem) {
+			inTestSystem(t, 3, 12, 2, func(sys *system) {
 				chk := is.NewRelaxed(t)
 				time.Sleep(2 * time.Second)
 				for num, prc := range sys.runningProcesses() {
--- a/internal/process/daemon/load_test.go
+++ b/internal/process/daemon/load_test.go
@@ -14,7 +14,7 @@
 // TestLoadOfManyJobs guards against jobs that are late under a steady load of 100 jobs of three tasks per second. With -cpuprofile it shows what
 // takes processor time in a start.
 func TestLoadOfManyJobs(t *testing.T) {
-	inTestSystem(t, 3, 2, 16, func(sys *testSystem) {
+	inTestSystem(t, 3, 2, 16, func(sys *system) {
 		const jobs = 1000
 		var inTime atomic.Int64
 		nms := sys.instanceNames()
@@ -50,7 +50,7 @@
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runTestSystemWith(t, &testSystem{linkBytes: cse.linkBytes}, 2, 4, 36, func(sys *testSystem) {
+				runTestSystemWith(t, &system{linkBytes: cse.linkBytes}, 2, 4, 36, func(sys *system) {
 					chk := is.NewRelaxed(t)
 					inTime, all := sendPaddedJobs(sys, cse.perSecond, 5*time.Second)
 					t.Logf("%d of %d jobs in time", inTime, all)
@@ -69,7 +69,7 @@
 
 // sendPaddedJobs sends jobs of eight tasks of 60 ms with payloads of 2.4 KB at a rate, and returns how many were answered with success within half
 // a second, and how many were sent.
-func sendPaddedJobs(sys *testSystem, perSecond int, dur time.Duration) (inTime, all int) {
+func sendPaddedJobs(sys *system, perSecond int, dur time.Duration) (inTime, all int) {
 	var good atomic.Int64
 	nms := sys.instanceNames()
 	pad := strings.Repeat("x", 2400)
--- a/internal/process/daemon/one_way_test.go
+++ b/internal/process/daemon/one_way_test.go
@@ -20,7 +20,7 @@
 		for _, back := range []bool{false, true} {
 			for moment := time.Duration(0); moment < time.Second; moment += 250 * time.Millisecond {
 				t.Run(fmt.Sprintf("%s, back %t, after %v", name, back, moment), func(t *testing.T) {
-					inTestSystem(t, 3, 1, 2, func(sys *testSystem) { cutOneWay(t, sys, moment, back, stall) })
+					inTestSystem(t, 3, 1, 2, func(sys *system) { cutOneWay(t, sys, moment, back, stall) })
 				})
 			}
 		}
@@ -29,7 +29,7 @@
 
 // cutOneWay cuts the network from the owner to the leader, or in the other direction if back is set, for 2 s from a moment after the job was sent
 // on. Without an answer the caller sends its job again, to a third instance.
-func cutOneWay(t *testing.T, sys *testSystem, moment time.Duration, back bool, stall func(led, own *process) *process) {
+func cutOneWay(t *testing.T, sys *system, moment time.Duration, back bool, stall func(led, own *process) *process) {
 	t.Helper()
 	led, own := sys.instances["entry-1-1"], sys.instances["entry-2-1"]
 	from, to := own.host, led.host
--- a/internal/process/daemon/overload_test.go
+++ b/internal/process/daemon/overload_test.go
@@ -110,7 +110,7 @@
 }
 
 // sendOverload sends the jobs of an overload and returns the outcomes of those that were sent in it, and of those before and after it.
-func (sys *testSystem) sendOverload(rnd *rand.Rand, ovl overload) (during, rest jobOutcomes) {
+func (sys *system) sendOverload(rnd *rand.Rand, ovl overload) (during, rest jobOutcomes) {
 	type call struct {
 		snt       *sentJob
 		id        string
@@ -242,7 +242,7 @@
 func runOverload(t *testing.T, seed uint64, ovl overload) (during, rest jobOutcomes) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		runTestSystemWith(t, &testSystem{serverSizes: []int64{64000, 64000, 96000}}, 3, 4, 36, func(sys *testSystem) {
+		runTestSystemWith(t, &system{serverSizes: []int64{64000, 64000, 96000}}, 3, 4, 36, func(sys *system) {
 			sys.publishRoutes("/thumb/", "/brand/", "/deck/")
 			time.Sleep(time.Second)
 			during, rest = sys.sendOverload(rand.New(rand.NewPCG(seed, 7)), ovl)
--- a/internal/process/daemon/pause_test.go
+++ b/internal/process/daemon/pause_test.go
@@ -14,7 +14,7 @@
 func TestAllProcessesPaused(t *testing.T) {
 	for _, dur := range []time.Duration{400 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 10 * time.Second} {
 		t.Run(fmt.Sprint(dur), func(t *testing.T) {
-			inTestSystem(t, 1, 2, 4, func(sys *testSystem) {
+			inTestSystem(t, 1, 2, 4, func(sys *system) {
 				chk := is.NewRelaxed(t)
 				before := sys.sendLoad(1, 50*time.Millisecond, 500*time.Millisecond)
 				for _, name := range sys.instanceNames() {
@@ -36,7 +36,7 @@
 
 // TestAllServersPaused guards against callers that are refused, with an estimated wait of hours, after all backend servers were paused for a second.
 func TestAllServersPaused(t *testing.T) {
-	inTestSystem(t, 2, 1, 3, func(sys *testSystem) {
+	inTestSystem(t, 2, 1, 3, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		for id := range sys.servers {
 			sys.net.Stall(id)
--- /dev/null
+++ b/internal/process/daemon/process_test.go
@@ -0,0 +1,73 @@
+package daemon
+
+import (
+	"context"
+	"sync"
+	"time"
+)
+
+// process is one incarnation of an instance: a daemon that can be stopped, killed, paused or suspended.
+type process struct {
+	name, host, domain string
+	stop               context.CancelFunc
+	done               chan struct{}
+	dmn                *Daemon
+	// ended is set by random faults that stop the process or cut its power; restartEnded starts such instances again.
+	ended bool
+	// poweredOff is set once the machine of the process has lost power.
+	poweredOff bool
+	mu         sync.Mutex
+	// suspendedFor is the total time for which the machine was suspended; the process's clock counts it.
+	suspendedFor time.Duration
+	// pausedSince is when the process stopped getting processor time; zero while it runs.
+	pausedSince time.Time
+}
+
+// now is the daemon's clock: it includes suspensions, and stands while the process is paused.
+func (prc *process) now() time.Time {
+	prc.mu.Lock()
+	defer prc.mu.Unlock()
+	if !prc.pausedSince.IsZero() {
+		return prc.pausedSince.Add(prc.suspendedFor)
+	}
+	return time.Now().Add(prc.suspendedFor)
+}
+
+func (prc *process) suspended() time.Duration {
+	prc.mu.Lock()
+	defer prc.mu.Unlock()
+	return prc.suspendedFor
+}
+
+// addSuspension moves the clock of a process ahead, as a suspension of its machine does.
+func (prc *process) addSuspension(dur time.Duration) {
+	prc.mu.Lock()
+	defer prc.mu.Unlock()
+	prc.suspendedFor += dur
+}
+
+// pauseProcess keeps a process, whose clock stopClock has stopped, from receiving anything for a while. Then it sees the whole time pass at
+// once and receives everything that was sent to it meanwhile, as after a time without processor.
+func (sys *system) pauseProcess(prc *process, dur time.Duration) {
+	sys.net.Stall(prc.host)
+	time.Sleep(dur)
+	prc.resumeClock()
+	sys.net.Resume(prc.host)
+}
+
+// stopClock stops the process's clock and reports whether it was running; if not, the process is paused already.
+func (prc *process) stopClock() bool {
+	prc.mu.Lock()
+	defer prc.mu.Unlock()
+	went := prc.pausedSince.IsZero()
+	if went {
+		prc.pausedSince = time.Now()
+	}
+	return went
+}
+
+func (prc *process) resumeClock() {
+	prc.mu.Lock()
+	defer prc.mu.Unlock()
+	prc.pausedSince = time.Time{}
+}
--- a/internal/process/daemon/random_deployments_test.go
+++ b/internal/process/daemon/random_deployments_test.go
@@ -62,8 +62,8 @@
 			rnd := rand.New(rand.NewPCG(seed, 2))
 			dpl := randomDeployment(rnd)
 			synctest.Test(t, func(t *testing.T) {
-				sys := &testSystem{linkBytes: dpl.linkBytes, serverSizes: dpl.sizes}
-				runTestSystemWith(t, sys, dpl.domains, dpl.instances, dpl.servers, func(sys *testSystem) { runDeployment(sys, rnd, dpl) })
+				sys := &system{linkBytes: dpl.linkBytes, serverSizes: dpl.sizes}
+				runTestSystemWith(t, sys, dpl.domains, dpl.instances, dpl.servers, func(sys *system) { runDeployment(sys, rnd, dpl) })
 				time.Sleep(20 * time.Second)
 			})
 		})
@@ -71,7 +71,7 @@
 }
 
 // runDeployment sends the jobs of a deployment for 6 s, in which one instance loses power and starts again, and checks their outcomes.
-func runDeployment(sys *testSystem, rnd *rand.Rand, dpl deployment) {
+func runDeployment(sys *system, rnd *rand.Rand, dpl deployment) {
 	const (
 		lasts = 6 * time.Second
 		lost  = 2 * time.Second
--- a/internal/process/daemon/random_test.go
+++ b/internal/process/daemon/random_test.go
@@ -24,7 +24,7 @@
 // runRandomFaults runs random jobs and faults in a system of three failure domains, ends all faults, and checks the jobs' outcomes.
 func runRandomFaults(t *testing.T, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	inTestSystem(t, 3, 2, 3, func(sys *testSystem) {
+	inTestSystem(t, 3, 2, 3, func(sys *system) {
 		var all []*sentJob
 		ids := map[*sentJob]string{}
 		for step := range 60 {
@@ -63,7 +63,7 @@
 }
 
 // taskStarts returns how often tasks of a job have started; jobs have at most six tasks.
-func (sys *testSystem) taskStarts(id string) int {
+func (sys *system) taskStarts(id string) int {
 	num := 0
 	for idx := range 6 {
 		num += sys.ldg.Starts(fmt.Sprintf("%s.0.0.%d", id, idx))
@@ -72,7 +72,7 @@
 }
 
 // instanceNames returns the names of all instances, sorted: random choices must not depend on the order of the map.
-func (sys *testSystem) instanceNames() []string {
+func (sys *system) instanceNames() []string {
 	var nms []string
 	for name := range sys.instances {
 		nms = append(nms, name)
@@ -82,13 +82,13 @@
 }
 
 // randomInstance returns the name of an instance, which may have ended.
-func (sys *testSystem) randomInstance(rnd *rand.Rand) string {
+func (sys *system) randomInstance(rnd *rand.Rand) string {
 	nms := sys.instanceNames()
 	return nms[rnd.IntN(len(nms))]
 }
 
 // restartEnded starts the next incarnation of each instance that has ended.
-func (sys *testSystem) restartEnded() {
+func (sys *system) restartEnded() {
 	for _, name := range sys.instanceNames() {
 		prc := sys.instances[name]
 		if !prc.ended {
@@ -106,7 +106,7 @@
 
 // injectRandomFault injects one fault: an instance loses power, stops, loses its open connections or is suspended, a failure domain is cut off,
 // the store goes down, or a server doesn't answer some starts. It may also heal the network, bring the store up, or restart ended instances.
-func (sys *testSystem) injectRandomFault(rnd *rand.Rand) {
+func (sys *system) injectRandomFault(rnd *rand.Rand) {
 	name := sys.randomInstance(rnd)
 	switch rnd.IntN(8) {
 	case 0:
--- a/internal/process/daemon/reach_test.go
+++ b/internal/process/daemon/reach_test.go
@@ -15,7 +15,7 @@
 func TestCutOffDomainKeepsItsLeader(t *testing.T) {
 	for back := 500 * time.Millisecond; back <= 2500*time.Millisecond; back += 50 * time.Millisecond {
 		t.Run(fmt.Sprint("its instance is back after ", back), func(t *testing.T) {
-			inTestSystem(t, 3, 1, 3, func(sys *testSystem) {
+			inTestSystem(t, 3, 1, 3, func(sys *system) {
 				chk := is.NewRelaxed(t)
 				sys.powerOff("entry-2-1")
 				time.Sleep(back)
@@ -32,7 +32,7 @@
 }
 
 // foreignTakeovers returns how often instances of other failure domains have taken over a shard of this one, by their logs.
-func foreignTakeovers(sys *testSystem, domain string) int {
+func foreignTakeovers(sys *system, domain string) int {
 	num := 0
 	for line := range strings.Lines(sys.logText()) {
 		if strings.Contains(line, "taking the shard over") && strings.Contains(line, `"shard":"`+domain+`.`) &&
@@ -48,14 +48,14 @@
 func TestOutsiderThatNoServerObeys(t *testing.T) {
 	for end := 200 * time.Millisecond; end <= 1200*time.Millisecond; end += 100 * time.Millisecond {
 		t.Run(fmt.Sprint("the cut ends after ", end), func(t *testing.T) {
-			inTestSystem(t, 3, 1, 3, func(sys *testSystem) { runForeignLeader(t, sys, end) })
+			inTestSystem(t, 3, 1, 3, func(sys *system) { runForeignLeader(t, sys, end) })
 		})
 	}
 }
 
 // runForeignLeader cuts a failure domain off, has an instance of another one take its shard over, and ends the cut some time after four
 // tasks were submitted.
-func runForeignLeader(t *testing.T, sys *testSystem, end time.Duration) {
+func runForeignLeader(t *testing.T, sys *system, end time.Duration) {
 	t.Helper()
 	chk := is.NewRelaxed(t)
 	sys.cut("domain-2")
--- a/internal/process/daemon/server_faults_test.go
+++ b/internal/process/daemon/server_faults_test.go
@@ -15,7 +15,7 @@
 func TestTaskMakesNoProgress(t *testing.T) {
 	// Guards against tasks that never end because their server answers all calls but makes no progress on them. The leader has to stop them
 	// and start them elsewhere while the caller still waits.
-	inTestSystem(t, 1, 2, 2, func(sys *testSystem) {
+	inTestSystem(t, 1, 2, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		began := time.Now()
 		job := jobSpec{id: jobID(1), tasks: 3, payload: payload{Millis: 200, Stalls: "server-1-1"}}
@@ -26,7 +26,7 @@
 
 func TestJobCannotBeDone(t *testing.T) {
 	// Guards against retries without end of a task that always fails, and against servers that get no more tasks because it failed on them.
-	inTestSystem(t, 1, 1, 2, func(sys *testSystem) {
+	inTestSystem(t, 1, 1, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		bad := jobSpec{id: jobID(1), tasks: 1, payload: payload{Millis: 50, Fails: true}}
 		status, body := sys.call(sys.ctx, "entry-1-1", bad)
@@ -41,7 +41,7 @@
 
 func TestServerCrashes(t *testing.T) {
 	// Guards against tasks that are lost with their server: it crashes and answers nothing. Their leases expire, and they start elsewhere.
-	inTestSystem(t, 1, 2, 3, func(sys *testSystem) {
+	inTestSystem(t, 1, 2, 3, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		snt := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 4, payload: payload{Millis: 900}})
 		time.Sleep(200 * time.Millisecond)
@@ -54,7 +54,7 @@
 
 func TestServerLeaves(t *testing.T) {
 	// Guards against tasks that start on a server half a second after its record says that it is draining.
-	inTestSystem(t, 1, 1, 2, func(sys *testSystem) {
+	inTestSystem(t, 1, 1, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		sys.listServer("server-1-1", "domain-1", "draining")
 		time.Sleep(500 * time.Millisecond)
@@ -68,7 +68,7 @@
 func TestFrozenLeaderWakes(t *testing.T) {
 	// Guards against a leader that goes on with its stale state after its machine was suspended for five seconds. Its clock counts that time,
 	// so that it gives its shards up before it sends an order, and its callers' jobs are answered in the end.
-	inTestSystem(t, 2, 2, 2, func(sys *testSystem) {
+	inTestSystem(t, 2, 2, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		led := sys.leader("domain-1")
 		snt := sys.sendAsync(sys.ctx, led, jobSpec{id: jobID(1), tasks: 3, payload: payload{Millis: 800}})
@@ -85,14 +85,14 @@
 func TestConfigurationInForce(t *testing.T) {
 	// Guards against a configuration that isn't in force at each instance within two seconds, or reverts later: an instance is cut off from the
 	// store, or the store has compacted its history.
-	cases := map[string]func(sys *testSystem){
-		"no fault":                            func(*testSystem) {},
-		"history compacted":                   func(sys *testSystem) { sys.sto.Compact(string(platform.ConfigurationTopic)) },
-		"one instance cut off from the store": func(sys *testSystem) { sys.net.Separate(sys.instances["entry-1-1"].host, storeHost) },
+	cases := map[string]func(sys *system){
+		"no fault":                            func(*system) {},
+		"history compacted":                   func(sys *system) { sys.sto.Compact(string(platform.ConfigurationTopic)) },
+		"one instance cut off from the store": func(sys *system) { sys.net.Separate(sys.instances["entry-1-1"].host, storeHost) },
 	}
 	for name, trouble := range cases {
 		t.Run(name, func(t *testing.T) {
-			inTestSystem(t, 1, 2, 1, func(sys *testSystem) {
+			inTestSystem(t, 1, 2, 1, func(sys *system) {
 				chk := is.NewRelaxed(t)
 				trouble(sys)
 				sys.publishRoutes("/thumb/", "/new/")
@@ -113,7 +113,7 @@
 func TestStoreIsAway(t *testing.T) {
 	// Guards against jobs that aren't served, or a lost leader that isn't replaced, while the store is down. An instance that starts meanwhile
 	// answers 503 until the store is back; it must join then, even if the answer to its registration is lost.
-	inTestSystem(t, 1, 3, 2, func(sys *testSystem) {
+	inTestSystem(t, 1, 3, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		sys.sto.SetDown(true)
 		time.Sleep(500 * time.Millisecond)
@@ -135,7 +135,7 @@
 func TestConnectionsFallSilent(t *testing.T) {
 	// Guards against jobs that are lost, or instances that stay cut off, when all open connections stop delivering while new ones work, as
 	// after the failure of a stateful network device. Timeouts must lead to new connections; jobs may only be late.
-	inTestSystem(t, 2, 2, 2, func(sys *testSystem) {
+	inTestSystem(t, 2, 2, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		snt := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 6, payload: payload{Millis: 900}})
 		time.Sleep(200 * time.Millisecond)
@@ -159,7 +159,7 @@
 func TestLastInstanceOfDomainGoes(t *testing.T) {
 	// Guards against servers that stay unused when the only instance of their failure domain loses power: an instance of another domain must
 	// lead them until a new instance of their own has started, which then leads them again.
-	inTestSystem(t, 2, 1, 2, func(sys *testSystem) {
+	inTestSystem(t, 2, 1, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		sys.powerOff("entry-2-1")
 		time.Sleep(3 * time.Second)
@@ -177,7 +177,7 @@
 func TestSameJobAtTwoInstances(t *testing.T) {
 	// Guards against tasks that run twice at once when a caller sends its job to another instance while the first still works on it. A leader
 	// that has an order for the same task from both must stop the first run before it starts the second.
-	inTestSystem(t, 1, 2, 4, func(sys *testSystem) {
+	inTestSystem(t, 1, 2, 4, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		job := jobSpec{id: jobID(1), tasks: 2, payload: payload{Millis: 600}}
 		sys.sendAsync(sys.ctx, "entry-1-1", job)
@@ -189,7 +189,7 @@
 func TestAllLosePower(t *testing.T) {
 	// Guards against requests that are refused, or wait for longer than needed, because no shard has a leader yet: all instances lose power and
 	// start again.
-	inTestSystem(t, 2, 2, 2, func(sys *testSystem) {
+	inTestSystem(t, 2, 2, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		for _, name := range sys.instanceNames() {
 			sys.powerOff(name)
@@ -216,7 +216,7 @@
 func TestSlowServers(t *testing.T) {
 	// Guards against jobs that are late for good because a sixth of the servers runs tasks six times as slowly while it answers all calls. They
 	// must be detected by the run times of sibling tasks, and get tasks again once they are fast.
-	inTestSystem(t, 1, 1, 12, func(sys *testSystem) {
+	inTestSystem(t, 1, 1, 12, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		slow := func(times int) {
 			for _, id := range []string{"server-1-1", "server-1-11"} {
@@ -263,7 +263,7 @@
 func TestEntriesOfAnotherWriter(t *testing.T) {
 	// Guards against invalid records of another writer in the list of servers: unreadable ones, or with an unknown state or service. No address in
 	// them may be called, the other servers stay in use, and a server whose record was overwritten is used again from its next record on.
-	inTestSystem(t, 1, 2, 3, func(sys *testSystem) {
+	inTestSystem(t, 1, 2, 3, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		topic := string(platform.ServersTopic)
 		entry := func(address, service, state string) map[string]any {
--- a/internal/process/daemon/stall_test.go
+++ b/internal/process/daemon/stall_test.go
@@ -22,7 +22,7 @@
 func runProcessPauses(t *testing.T, seed uint64) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	inTestSystem(t, 2+rnd.IntN(2), 1+rnd.IntN(3), 2+rnd.IntN(3), func(sys *testSystem) {
+	inTestSystem(t, 2+rnd.IntN(2), 1+rnd.IntN(3), 2+rnd.IntN(3), func(sys *system) {
 		var all []*sentJob
 		for step := range 40 {
 			for range 1 + rnd.IntN(4) {
@@ -48,7 +48,7 @@
 }
 
 // pauseRandomProcess picks an instance at random and pauses its process for 50 ms to 2.55 s, unless it has ended or is paused already.
-func (sys *testSystem) pauseRandomProcess(rnd *rand.Rand) {
+func (sys *system) pauseRandomProcess(rnd *rand.Rand) {
 	name := sys.randomInstance(rnd)
 	dur := time.Duration(50+rnd.IntN(2500)) * time.Millisecond
 	prc := sys.instances[name]
@@ -77,7 +77,7 @@
 func runPausesAndFaults(t *testing.T, seed uint64) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 9))
-	inTestSystem(t, 2+rnd.IntN(2), 1+rnd.IntN(3), 2+rnd.IntN(3), func(sys *testSystem) {
+	inTestSystem(t, 2+rnd.IntN(2), 1+rnd.IntN(3), 2+rnd.IntN(3), func(sys *system) {
 		// turn is a lock for the map of instances, which callers read while faults change it.
 		turn := make(chan struct{}, 1)
 		inTurn := func(do func()) {
@@ -117,7 +117,7 @@
 
 // sendUntilAnswered sends a job, and after each call without an answer sends it again, to another instance, up to four calls in all. One in
 // six callers closes its first connection within 600 ms. The returned channel is closed after the last call.
-func (sys *testSystem) sendUntilAnswered(rnd *rand.Rand, inTurn func(func()), job jobSpec) chan struct{} {
+func (sys *system) sendUntilAnswered(rnd *rand.Rand, inTurn func(func()), job jobSpec) chan struct{} {
 	const tries = 4
 	var names [tries]string
 	for idx := range names {
--- a/internal/process/daemon/system_test.go
+++ b/internal/process/daemon/system_test.go
@@ -21,9 +21,9 @@
 	"chestnutstack/platform/standin"
 )
 
-// testSystem runs a whole system in one process: real daemons, and stand-ins for the store, the backend servers and the callers,
+// system runs a whole system in one process: real daemons, and stand-ins for the store, the backend servers and the callers,
 // connected by a simulated network.
-type testSystem struct {
+type system struct {
 	t         testing.TB
 	net       *pipe.Network
 	grp       *errgroup.Group
@@ -47,39 +47,6 @@
 	log bytes.Buffer
 }
 
-// process is one incarnation of an instance: a daemon that can be stopped, killed, paused or suspended.
-type process struct {
-	name, host, domain string
-	stop               context.CancelFunc
-	done               chan struct{}
-	dmn                *Daemon
-	// ended is set by random faults that stop the process or cut its power; restartEnded starts such instances again.
-	ended bool
-	// poweredOff is set once the machine of the process has lost power.
-	poweredOff bool
-	mu         sync.Mutex
-	// suspendedFor is the total time for which the machine was suspended; the process's clock counts it.
-	suspendedFor time.Duration
-	// pausedSince is when the process stopped getting processor time; zero while it runs.
-	pausedSince time.Time
-}
-
-// now is the daemon's clock: it includes suspensions, and stands while the process is paused.
-func (prc *process) now() time.Time {
-	prc.mu.Lock()
-	defer prc.mu.Unlock()
-	if !prc.pausedSince.IsZero() {
-		return prc.pausedSince.Add(prc.suspendedFor)
-	}
-	return time.Now().Add(prc.suspendedFor)
-}
-
-func (prc *process) suspended() time.Duration {
-	prc.mu.Lock()
-	defer prc.mu.Unlock()
-	return prc.suspendedFor
-}
-
 const (
 	serverProcessor = 32000
 	taskProcessor   = 14000
@@ -111,7 +78,7 @@
 
 // inTestSystem runs body in virtual time in a system whose failure domains have so many instances and backend servers each. At the end it
 // reports each violation that the ledger noted: a task that ran twice at once, an overfull server, a start in a closed domain.
-func inTestSystem(t *testing.T, domains, instances, servers int, body func(sys *testSystem)) {
+func inTestSystem(t *testing.T, domains, instances, servers int, body func(sys *system)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		runTestSystem(t, domains, instances, servers, body)
@@ -120,13 +87,13 @@
 }
 
 // runTestSystem is inTestSystem without a bubble of its own: in real time, or in the virtual time of the caller's bubble.
-func runTestSystem(t testing.TB, domains, instances, servers int, body func(sys *testSystem)) {
+func runTestSystem(t testing.TB, domains, instances, servers int, body func(sys *system)) {
 	t.Helper()
-	runTestSystemWith(t, &testSystem{}, domains, instances, servers, body)
+	runTestSystemWith(t, &system{}, domains, instances, servers, body)
 }
 
-// runTestSystemWith is runTestSystem for a testSystem whose link bandwidth and server sizes the test has set.
-func runTestSystemWith(t testing.TB, sys *testSystem, domains, instances, servers int, body func(sys *testSystem)) {
+// runTestSystemWith is runTestSystem for a system whose link bandwidth and server sizes the test has set.
+func runTestSystemWith(t testing.TB, sys *system, domains, instances, servers int, body func(sys *system)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	sys.t, sys.net, sys.grp, sys.ctx = t, pipe.New(), &errgroup.Group{}, ctx
@@ -175,7 +142,7 @@
 func domainName(num int) string { return fmt.Sprintf("domain-%d", num+1) }
 
 // serve serves HTTP at an address of the simulated network until the test ends.
-func (sys *testSystem) serve(addr string, hdl http.Handler) *http.Server {
+func (sys *system) serve(addr string, hdl http.Handler) *http.Server {
 	srv := &http.Server{Handler: hdl, ReadHeaderTimeout: time.Minute}
 	lis := sys.net.Listen(addr)
 	sys.grp.Go(func() error {
@@ -190,7 +157,7 @@
 }
 
 // publishRoutes publishes a new version of the configuration that has one route for each prefix and no other.
-func (sys *testSystem) publishRoutes(prefixes ...string) {
+func (sys *system) publishRoutes(prefixes ...string) {
 	sys.configVersion++
 	rts := []standin.Route{}
 	for num, pfx := range prefixes {
@@ -202,7 +169,7 @@
 }
 
 // startServer starts a stand-in backend server and lists it as ready.
-func (sys *testSystem) startServer(id, domain string) {
+func (sys *system) startServer(id, domain string) {
 	size := int64(serverProcessor)
 	if len(sys.serverSizes) > 0 {
 		size = sys.serverSizes[len(sys.servers)%len(sys.serverSizes)]
@@ -223,12 +190,12 @@
 }
 
 // listServer writes a server's record, as its heartbeat does; state is "ready" or "draining".
-func (sys *testSystem) listServer(id, domain, state string) {
+func (sys *system) listServer(id, domain, state string) {
 	sys.sto.List(sys.servers[id], service, id+":1", domain, state == "draining")
 }
 
 // startInstance starts an instance on a machine of its own. A name that was started before gets a new incarnation, on a new machine.
-func (sys *testSystem) startInstance(name, domain string) *process {
+func (sys *system) startInstance(name, domain string) *process {
 	sys.lastNumber++
 	host := fmt.Sprintf("%s-life-%d", name, sys.lastNumber)
 	if sys.linkBytes > 0 {
@@ -266,7 +233,7 @@
 }
 
 // powerOff ends a process as a power loss does: its machine answers nothing any more, and connections are not closed.
-func (sys *testSystem) powerOff(name string) {
+func (sys *system) powerOff(name string) {
 	prc := sys.instances[name]
 	sys.net.Isolate(prc.host)
 	prc.poweredOff = true
@@ -275,7 +242,7 @@
 }
 
 // kill ends a process as SIGKILL does: its machine closes its connections and refuses new ones.
-func (sys *testSystem) kill(name string) {
+func (sys *system) kill(name string) {
 	prc := sys.instances[name]
 	sys.net.Isolate(prc.host)
 	sys.net.Drop(prc.host)
@@ -283,14 +250,14 @@
 }
 
 // separateFromAll cuts a process off from all machines, in both directions.
-func (sys *testSystem) separateFromAll(prc *process) {
+func (sys *system) separateFromAll(prc *process) {
 	for _, oth := range sys.hosts() {
 		sys.net.Separate(prc.host, oth)
 	}
 }
 
 // heal ends all network partitions; machines without power stay unreachable.
-func (sys *testSystem) heal() {
+func (sys *system) heal() {
 	sys.net.Heal()
 	for _, prc := range sys.formerProcesses {
 		if prc.poweredOff {
@@ -305,7 +272,7 @@
 }
 
 // hosts returns the names of all machines: the store's, the callers', and those of the current instances and of the servers.
-func (sys *testSystem) hosts() []string {
+func (sys *system) hosts() []string {
 	hsts := []string{storeHost, clientHost}
 	for _, prc := range sys.instances {
 		hsts = append(hsts, prc.host)
@@ -316,42 +283,9 @@
 	return hsts
 }
 
-// addSuspension moves the clock of a process ahead, as a suspension of its machine does.
-func (prc *process) addSuspension(dur time.Duration) {
-	prc.mu.Lock()
-	defer prc.mu.Unlock()
-	prc.suspendedFor += dur
-}
-
-// pauseProcess keeps a process, whose clock stopClock has stopped, from receiving anything for a while. Then it sees the whole time pass at
-// once and receives everything that was sent to it meanwhile, as after a time without processor.
-func (sys *testSystem) pauseProcess(prc *process, dur time.Duration) {
-	sys.net.Stall(prc.host)
-	time.Sleep(dur)
-	prc.resumeClock()
-	sys.net.Resume(prc.host)
-}
-
-// stopClock stops the process's clock and reports whether it was running; if not, the process is paused already.
-func (prc *process) stopClock() bool {
-	prc.mu.Lock()
-	defer prc.mu.Unlock()
-	went := prc.pausedSince.IsZero()
-	if went {
-		prc.pausedSince = time.Now()
-	}
-	return went
-}
-
-func (prc *process) resumeClock() {
-	prc.mu.Lock()
-	defer prc.mu.Unlock()
-	prc.pausedSince = time.Time{}
-}
-
 // cut partitions the network: the instances and servers of a failure domain don't reach those of the others, nor its instances the store.
 // Callers reach all instances.
-func (sys *testSystem) cut(domain string) {
+func (sys *system) cut(domain string) {
 	for _, prc := range sys.instances {
 		if prc.domain != domain {
 			continue
@@ -373,7 +307,7 @@
 }
 
 // Write implements io.Writer: it collects the logs of all processes, each line behind the second of the time of day.
-func (sys *testSystem) Write(data []byte) (int, error) {
+func (sys *system) Write(data []byte) (int, error) {
 	sys.mu.Lock()
 	defer sys.mu.Unlock()
 	sys.log.WriteString(time.Now().Format("05.000 "))
@@ -381,14 +315,14 @@
 }
 
 // logText returns what all processes have logged so far.
-func (sys *testSystem) logText() string {
+func (sys *system) logText() string {
 	sys.mu.Lock()
 	defer sys.mu.Unlock()
 	return sys.log.String()
 }
 
 // leader returns the name of an instance that leads a shard of a domain and is not stopping; empty if there is none.
-func (sys *testSystem) leader(domain string) string {
+func (sys *system) leader(domain string) string {
 	for name, prc := range sys.instances {
 		prc.dmn.mu.Lock()
 		for shd := range prc.dmn.leaders {
