--- a/internal/process/daemon/closed_test.go
+++ b/internal/process/daemon/closed_test.go
@@ -97,14 +97,14 @@
 			sys.sto.CloseDomain("")
 		},
 	}
-	for name, trouble := range cases {
+	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
 			inTestSystem(t, 3, 2, 3, func(sys *system) {
 				chk := is.NewRelaxed(t)
 				all := sys.sendLoad(0, 30*time.Millisecond, time.Second)
 				sys.closeDomain("domain-2")
 				all = append(all, sys.sendLoad(100, 30*time.Millisecond, 300*time.Millisecond)...)
-				trouble(sys)
+				fault(sys)
 				all = append(all, sys.sendLoad(200, 30*time.Millisecond, 4*time.Second)...)
 				sys.sto.SetDown(false)
 				sys.net.Heal()
--- a/internal/process/daemon/entries_test.go
+++ b/internal/process/daemon/entries_test.go
@@ -12,11 +12,7 @@
 
 func TestAllEntriesOfADomainLapse(t *testing.T) {
 	// Guards against a leader that gives its shard up because the records of all its servers expired while its failure domain was cut off
-	// from the store. Its tasks then start elsewhere before their leases have expired.
-	//
-	// After the cut the leader reads that all servers are gone, and some 0.4 s later that they are back. If it gives the shard up between
-	// (logged as "leaving the shard", fenced false), nobody renews the leases. If it then takes the shard over with a list of a few servers, it
-	// reports the tasks on the others as not run, and they start elsewhere up to 40 ms before the leases of their first runs have expired.
+	// from the store: its tasks then start elsewhere before their leases have expired.
 	for back := 50 * time.Millisecond; back <= 950*time.Millisecond; back += 100 * time.Millisecond {
 		t.Run(fmt.Sprint("back-after-", back), func(t *testing.T) {
 			inTestSystem(t, 2, 2, 4, func(sys *system) { expireServerEntries(t, sys, back) })
@@ -38,6 +34,7 @@
 	second := sys.sendAsync(sys.ctx, "entry-1-2", jobSpec{id: jobID(2), tasks: 4, payload: payload{Millis: 1800}})
 	time.Sleep(100 * time.Millisecond)
 	sys.heal()
+	// The leader reads now that all servers are gone, and some 0.4 s later that they are back.
 	time.Sleep(back)
 	for num := range 4 {
 		// One after the other, as the servers send their heartbeats at different times.
@@ -48,6 +45,8 @@
 	<-second.done
 	chk.Equal(first.status, http.StatusOK)
 	chk.Equal(second.status, http.StatusOK)
+	// If the leader gives the shard up, nobody renews the leases. When it takes the shard over again with a list of a few servers, it reports the
+	// tasks on the others as not run, and they start elsewhere up to 40 ms before the leases of their first runs have expired.
 	for num := range 4 {
 		chk.Equal(sys.ldg.Starts(fmt.Sprintf("%s.0.0.%d", jobID(1), num)), 1)
 		chk.Equal(sys.ldg.Starts(fmt.Sprintf("%s.0.0.%d", jobID(2), num)), 1)
--- a/internal/process/daemon/idle_test.go
+++ b/internal/process/daemon/idle_test.go
@@ -27,7 +27,7 @@
 }
 
 // Guards against a cost of membership that grows with the number of instances, until an instance has no processor time left for its callers:
-// without jobs, messages and bytes of each instance may at most double from 20 instances on.
+// without jobs, calls and bytes of each instance may at most double from 20 instances on, and renewals grow by a fifth.
 func TestIdleSystem(t *testing.T) {
 	small := measureIdle(t, 20)
 	for _, num := range []int{40, 75, 150, 300} {
--- a/internal/process/daemon/instance_faults_test.go
+++ b/internal/process/daemon/instance_faults_test.go
@@ -94,7 +94,7 @@
 		<-late.done
 		chk.Equal(own.status, http.StatusOK)
 		chk.Equal(far.status, http.StatusOK)
-		chk.Equal(late.status, http.StatusOK) // The balancer still sends requests for a while.
+		chk.Equal(late.status, http.StatusOK) // The balancer sends requests to a stopping instance for a while.
 		for _, tsk := range []string{"0", "1", "2"} {
 			chk.Equal(sys.ldg.Starts(jobID(1)+".0.0."+tsk), 1)
 			chk.Equal(sys.ldg.Starts(jobID(2)+".0.0."+tsk), 1)
@@ -186,7 +186,7 @@
 		chk := is.NewRelaxed(t)
 		snt := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 8, payload: payload{Millis: 900}})
 		time.Sleep(200 * time.Millisecond)
-		chk.Equal(sys.ldg.Running(), 8)
+		chk.Equal(sys.ldg.Running(), 8) // Four of them in domain-2.
 		sys.cut("domain-2")
 		<-snt.done
 		chk.Equal(snt.status, http.StatusOK)
@@ -220,7 +220,8 @@
 	// run gets no answer, so that its lease has to expire.
 	chk := is.NewRelaxed(t)
 	cfg := shard.DefaultConfig()
-	// Missed heartbeats are checked for each half interval, so that a loss is noticed up to half an interval late.
+	// Missed heartbeats are checked for each half interval, so that a loss is noticed up to half an interval late. When the sum left that out,
+	// the owner started the task 30 ms before the lease had expired.
 	noticed := silentBeats*beatInterval + beatInterval/2 + mesh.ReadTime
 	// A renewal just before the end of the stop's patience extends the lease once more: the whole expiry comes on top.
 	over := noticed + cfg.StopPatience + cfg.Lapse()
--- a/internal/process/daemon/list_test.go
+++ b/internal/process/daemon/list_test.go
@@ -40,12 +40,12 @@
 			sys.sto.Put(string(platform.ServerDigestsTopic), platform.ServerDigestsKey, map[string]any{"by": "x", "from": 0, "to": 1 << 19})
 		},
 	}
-	for name, trouble := range cases {
+	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
 			inTestSystem(t, 2, 3, 3, func(sys *system) {
 				chk := is.NewRelaxed(t)
 				sys.sendHeartbeats(3 * time.Second)
-				trouble(sys, sys.listReader())
+				fault(sys, sys.listReader())
 				sys.sendHeartbeats(100 * time.Millisecond)
 				sys.listServer("server-1-1", "domain-1", "draining")
 				sys.sendHeartbeatsExcept("server-1-1", 2*time.Second)
--- a/internal/process/daemon/process_test.go
+++ b/internal/process/daemon/process_test.go
@@ -33,6 +33,7 @@
 	return time.Now().Add(prc.suspendedFor)
 }
 
+// suspended returns the total time for which the machine was suspended, as the daemon asks for it.
 func (prc *process) suspended() time.Duration {
 	prc.mu.Lock()
 	defer prc.mu.Unlock()
@@ -66,6 +67,7 @@
 	return went
 }
 
+// resumeClock sets the clock to the present time again.
 func (prc *process) resumeClock() {
 	prc.mu.Lock()
 	defer prc.mu.Unlock()
--- a/internal/process/daemon/random_deployments_test.go
+++ b/internal/process/daemon/random_deployments_test.go
@@ -12,10 +12,14 @@
 
 // deployment is the size of a system and its load, drawn at random.
 type deployment struct {
-	domains, instances, servers int
-	sizes                       []int64
-	linkBytes                   int
-	kinds                       []jobSpec
+	domains int
+	// instances and servers are numbers per failure domain.
+	instances, servers int
+	// sizes and linkBytes are a system's serverSizes and linkBytes.
+	sizes     []int64
+	linkBytes int
+	// kinds are the jobs to choose from.
+	kinds []jobSpec
 	// gap is the time between two jobs: at the mean rate they use 40% of the servers' processor, as large tasks leave parts of servers unused,
 	// or 30% of the links' bandwidth, whichever is reached first.
 	gap time.Duration
--- a/internal/process/daemon/server_faults_test.go
+++ b/internal/process/daemon/server_faults_test.go
@@ -90,11 +90,11 @@
 		"history compacted":                   func(sys *system) { sys.sto.Compact(string(platform.ConfigurationTopic)) },
 		"one instance cut off from the store": func(sys *system) { sys.net.Separate(sys.instances["entry-1-1"].host, storeHost) },
 	}
-	for name, trouble := range cases {
+	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
 			inTestSystem(t, 1, 2, 1, func(sys *system) {
 				chk := is.NewRelaxed(t)
-				trouble(sys)
+				fault(sys)
 				sys.publishRoutes("/thumb/", "/new/")
 				time.Sleep(2 * time.Second)
 				for at := range sys.instances {
@@ -224,8 +224,8 @@
 			}
 		}
 		first := 0
-		// play sends 15 jobs a second of 60 or 300 ms and returns the share that was done in time: in twice the run time and 30 ms.
-		play := func(dur time.Duration) float64 {
+		// sendJobs sends 15 jobs a second of 60 or 300 ms and returns the share that was done in time: in twice the run time and 30 ms.
+		sendJobs := func(dur time.Duration) float64 {
 			var done []*sentJob
 			var limits []time.Duration
 			for began := time.Now(); time.Since(began) < dur; time.Sleep(66 * time.Millisecond) {
@@ -246,13 +246,13 @@
 			}
 			return float64(inTime) / float64(len(done))
 		}
-		chk.Equal(play(time.Second), 1.0)
+		chk.Equal(sendJobs(time.Second), 1.0)
 		slow(6)
-		before := play(time.Second) // Most jobs of eight tasks have one on a slow server.
-		after := play(5 * time.Second)
+		before := sendJobs(time.Second) // Most jobs of eight tasks have one on a slow server.
+		after := sendJobs(5 * time.Second)
 		slow(1)
-		play(5 * time.Second)
-		again := play(2 * time.Second)
+		sendJobs(5 * time.Second)
+		again := sendJobs(2 * time.Second)
 		t.Logf("in time: %.2f in the first second, %.2f later, %.2f when they are fast again", before, after, again)
 		chk.True(after >= 0.93)
 		chk.Equal(again, 1.0)
--- a/internal/process/daemon/system_test.go
+++ b/internal/process/daemon/system_test.go
@@ -34,8 +34,10 @@
 	instances map[string]*process
 	// formerProcesses are the earlier incarnations of instances that were started again.
 	formerProcesses []*process
-	configVersion   int
-	lastNumber      int
+	// configVersion is the version that was published last.
+	configVersion int
+	// lastNumber is the last number given to a process, as part of its machine's name, or to a padded job.
+	lastNumber int
 	// linkBytes is the bandwidth of each instance's network link in bytes per second; 0 for no limit.
 	linkBytes int
 	// domains are the failure domains in the settings of each instance.
