--- a/internal/process/daemon/grown_bench_test.go
+++ b/internal/process/daemon/grown_bench_test.go
@@ -14,7 +14,7 @@
 func BenchmarkGrownSystem(ben *testing.B) {
 	tasks, used := 0, time.Duration(0)
 	var calls uint64
-	var looks int64
+	var renewals int64
 	for ben.Loop() {
 		began := processorTime(ben)
 		runTestSystem(ben, 3, 13, 117, func(sys *system) {
@@ -37,12 +37,12 @@
 			used += processorTime(ben) - began
 			for _, prc := range sys.instances {
 				calls += prc.dmn.mesh.Stats().Calls
-				looks += prc.dmn.cnt.looks.Load()
+				renewals += prc.dmn.cnt.looks.Load()
 			}
 		})
 	}
 	ben.ReportMetric(float64(calls)/float64(tasks), "batches/task")
-	ben.ReportMetric(float64(looks)/float64(tasks), "looks/task")
+	ben.ReportMetric(float64(renewals)/float64(tasks), "looks/task")
 	ben.ReportMetric(float64(used.Microseconds())/float64(tasks), "us-cpu/task")
 }
 
--- a/internal/process/daemon/idle_test.go
+++ b/internal/process/daemon/idle_test.go
@@ -21,7 +21,7 @@
 // idleUse is the resource use of a system without jobs: totals as resourceUse returns them, or means per instance and second. Renewals of leases
 // are counted as looks; allocations, heapBytes and processor include the stand-ins.
 type idleUse struct {
-	calls, peerBytes, storeBytes, looks float64
+	calls, peerBytes, storeBytes, renewals float64
 	allocations, heapBytes              float64
 	processor                           time.Duration
 }
@@ -40,7 +40,7 @@
 			chk.True(large.calls <= 2*small.calls)
 			chk.True(large.peerBytes <= 2*small.peerBytes)
 			chk.True(large.storeBytes <= 2*small.storeBytes)
-			chk.True(large.looks <= 1.2*small.looks)
+			chk.True(large.renewals <= 1.2*small.renewals)
 		})
 	}
 }
@@ -62,7 +62,7 @@
 		time.Sleep(20 * time.Second)
 	})
 	t.Logf("%d instances, each per second: %.1f calls and %.0f bytes to and from peers, %.0f bytes from the store, %.1f renewals; "+
-		"with the stand-ins %.0f allocations, %v of processor time, %.0f bytes of heap", instances, got.calls, got.peerBytes, got.storeBytes, got.looks,
+		"with the stand-ins %.0f allocations, %v of processor time, %.0f bytes of heap", instances, got.calls, got.peerBytes, got.storeBytes, got.renewals,
 		got.allocations, got.processor, got.heapBytes)
 	return got
 }
@@ -93,7 +93,7 @@
 		sum.calls += float64(sts.Calls)
 		sum.peerBytes += float64(sts.BytesIn + sts.BytesOut)
 		sum.storeBytes += float64(prc.dmn.cnt.traffic.store.Stats().BytesIn)
-		sum.looks += float64(prc.dmn.cnt.looks.Load())
+		sum.renewals += float64(prc.dmn.cnt.looks.Load())
 	}
 	var mem runtime.MemStats
 	runtime.GC()
@@ -108,7 +108,7 @@
 	num := float64(instances) * dur.Seconds()
 	return idleUse{
 		calls: (idl.calls - was.calls) / num, peerBytes: (idl.peerBytes - was.peerBytes) / num,
-		storeBytes: (idl.storeBytes - was.storeBytes) / num, looks: (idl.looks - was.looks) / num,
+		storeBytes: (idl.storeBytes - was.storeBytes) / num, renewals: (idl.renewals - was.renewals) / num,
 		allocations: (idl.allocations - was.allocations) / num, heapBytes: idl.heapBytes / float64(instances),
 		processor: time.Duration(float64(idl.processor-was.processor) / num),
 	}
