--- a/internal/process/daemon/entries_test.go
+++ b/internal/process/daemon/entries_test.go
@@ -45,7 +45,7 @@
 	<-second.done
 	chk.Equal(first.status, http.StatusOK)
 	chk.Equal(second.status, http.StatusOK)
-	// If the leader gives the shard up, nobody renews the leases. When it takes the shard over again with a list of a few servers, it reports the
+	// If the leader gives the shard up, no instance renews the leases. When it takes the shard over again with a list of a few servers, it reports the
 	// tasks on the others as not run, and they start elsewhere up to 40 ms before the leases of their first runs have expired.
 	for num := range 4 {
 		chk.Equal(sys.ldg.Starts(fmt.Sprintf("%s.0.0.%d", jobID(1), num)), 1)
--- a/internal/process/daemon/idle_test.go
+++ b/internal/process/daemon/idle_test.go
@@ -18,12 +18,12 @@
 // idleServers is the number of backend servers for each instance of an idle system.
 const idleServers = 8
 
-// idleUse is the resource use of a system without jobs: totals as resourceUse returns them, or means per instance and second. Renewals of leases
-// are counted as looks; allocations, heapBytes and processor include the stand-ins.
+// idleUse is the resource use of a system without jobs: totals as resourceUse returns them, or means per instance and second. Allocations,
+// heapBytes and processor include the stand-ins.
 type idleUse struct {
 	calls, peerBytes, storeBytes, renewals float64
-	allocations, heapBytes              float64
-	processor                           time.Duration
+	allocations, heapBytes                 float64
+	processor                              time.Duration
 }
 
 // Guards against a cost of membership that grows with the number of instances, until an instance has no processor time left for its callers:
--- a/internal/process/daemon/instance_faults_test.go
+++ b/internal/process/daemon/instance_faults_test.go
@@ -181,7 +181,7 @@
 
 func TestCutDuringWork(t *testing.T) {
 	// Guards against tasks that run twice at once, or are never answered, when the domain where they run is cut off from their owner's. Both sides
-	// must wait until the runs are surely over before the tasks start elsewhere.
+	// must wait until the leases have expired by any clock before the tasks start elsewhere.
 	inTestSystem(t, 2, 1, 2, func(sys *system) {
 		chk := is.NewRelaxed(t)
 		snt := sys.sendAsync(sys.ctx, "entry-1-1", jobSpec{id: jobID(1), tasks: 8, payload: payload{Millis: 900}})
@@ -227,7 +227,8 @@
 	over := noticed + cfg.StopPatience + cfg.Lapse()
 	chk.True(over < proof)       // After it the owner starts the task elsewhere.
 	chk.True(over < leastResend) // After it the caller sends the job again.
-	// An owner sends an order to the shard's new leader once it has missed the former one, and that leader starts it after Doubt at the earliest.
+	// An owner sends an order to the shard's new leader once it has missed the former one, and that leader waits at least
+	// the time that is added here before it starts the task.
 	chk.True(over < silentBeats*beatInterval+cfg.Doubt)
 }
 
--- a/internal/process/daemon/random_deployments_test.go
+++ b/internal/process/daemon/random_deployments_test.go
@@ -12,9 +12,8 @@
 
 // deployment is the size of a system and its load, drawn at random.
 type deployment struct {
-	domains int
-	// instances and servers are numbers per failure domain.
-	instances, servers int
+	// instances and servers are counts per failure domain.
+	domains, instances, servers int
 	// sizes and linkBytes are a system's serverSizes and linkBytes.
 	sizes     []int64
 	linkBytes int
