--- a/internal/request/dispatch/state.go
+++ b/internal/request/dispatch/state.go
@@ -50,7 +50,7 @@
 type class struct {
 	name     string
 	run      order.RunTimeEstimator
-	evidence fault.Class
+	evidence fault.EntryRate
 	waiting  int
 }
 
--- a/internal/request/fault/fault.go
+++ b/internal/request/fault/fault.go
@@ -78,8 +78,8 @@
 // ProbeAt returns the time from which an ejected backend server may be probed.
 func (srv *Server) ProbeAt() time.Time { return srv.probeAt }
 
-// Class holds the learnt failure rate of one catalogue entry; the zero value has no outcomes.
-type Class struct {
+// EntryRate holds the learnt failure rate of one catalogue entry; the zero value has no outcomes.
+type EntryRate struct {
 	rate float64
 	// weight is the number of outcomes that rate averages over, at most maxWeight.
 	weight float64
@@ -88,20 +88,20 @@
 }
 
 // Rate returns the share of the catalogue entry's tasks that fail on backend servers without a fault.
-func (cls *Class) Rate() float64 {
-	if cls.weight == 0 {
+func (rat *EntryRate) Rate() float64 {
+	if rat.weight == 0 {
 		return startRate
 	}
-	return min(max(cls.rate, minRate), maxRate)
+	return min(max(rat.rate, minRate), maxRate)
 }
 
 // add updates the failure rate with the outcome of one task: 1 for a failure, 0 for a success.
-func (cls *Class) add(outcome float64) {
-	if cls.weight == 0 {
-		cls.rate, cls.weight = startRate, startWeight
+func (rat *EntryRate) add(outcome float64) {
+	if rat.weight == 0 {
+		rat.rate, rat.weight = startRate, startWeight
 	}
-	cls.weight = min(cls.weight+1, maxWeight)
-	cls.rate += (outcome - cls.rate) / cls.weight
+	rat.weight = min(rat.weight+1, maxWeight)
+	rat.rate += (outcome - rat.rate) / rat.weight
 }
 
 // Detector decides which backend servers are faulty, by a sequential test of two hypotheses: the backend server fails nearly
@@ -123,9 +123,9 @@
 func (det *Detector) EjectedCount() int { return det.ejected }
 
 // HandleSuccess records a task that did not fail, and reports whether the backend server's state changed.
-func (det *Detector) HandleSuccess(srv *Server, cls *Class) bool {
-	rate := cls.Rate()
-	cls.add(0)
+func (det *Detector) HandleSuccess(srv *Server, rat *EntryRate) bool {
+	rate := rat.Rate()
+	rat.add(0)
 	srv.score = max(0, srv.score+math.Log((1-faultyRate)/(1-rate)))
 	srv.lastJob = ""
 	if srv.state != Probing {
@@ -142,13 +142,14 @@
 
 // HandleFailure records a task that failed, and reports whether the backend server's state changed.
 //
-// Consecutive failures of one job count once against a backend server, since the job may be at fault; consecutive failures on
-// one backend server count once against the catalogue entry, since the backend server may be at fault.
-func (det *Detector) HandleFailure(now time.Time, srv *Server, job string, cls *Class) bool {
-	rate := cls.Rate()
-	if cls.lastServer != srv {
-		cls.lastServer = srv
-		cls.add(1)
+// Consecutive failures of one job count once against a backend server, since the job may be at fault; failures on one backend server count
+// once against the catalogue entry until a task of the entry fails on another one, also with successes between, since the backend server
+// may be at fault.
+func (det *Detector) HandleFailure(now time.Time, srv *Server, job string, rat *EntryRate) bool {
+	rate := rat.Rate()
+	if rat.lastServer != srv {
+		rat.lastServer = srv
+		rat.add(1)
 	}
 	if srv.state == Probing {
 		det.eject(now, srv)
--- a/internal/request/job/class.go
+++ b/internal/request/job/class.go
@@ -42,11 +42,14 @@
 // Class is the part of a catalogue entry that dispatch uses, as of one version of the catalogue.
 type Class struct {
 	// Name is the name of the catalogue entry, such as riga/thumbnail.
-	Name    string
-	Owner   Partner
-	Class   string
-	Limits  Limits
-	Needs   Needs
+	Name string
+	// Owner is the partner that owns the entry.
+	Owner Partner
+	// Class is the class that the entry's metrics are labelled with; entries may share one.
+	Class  string
+	Limits Limits
+	Needs  Needs
+	// RunTime is the run time of one task as the entry declares it.
 	RunTime time.Duration
 	// Repeatable is false for tasks that must run at most once.
 	Repeatable bool
--- a/internal/request/job/id.go
+++ b/internal/request/job/id.go
@@ -12,7 +12,7 @@
 // SubmissionID is the idempotency key that the caller chose for a submission.
 type SubmissionID string
 
-// ID identifies a job by the entry instance that accepted it and a name that is unique there and begins with the partner.
+// ID identifies a job by the entry instance that accepted it and a local name that is unique there.
 type ID struct {
 	instance string
 	local    string
@@ -23,7 +23,8 @@
 	partnerSeparator = "."
 )
 
-// NewID returns the id of a job that an entry instance accepts under a local name.
+// NewID returns the id of a job that an entry instance accepts under a local name, which must begin with the partner and a dot for Partner
+// to work; NewPartnerID makes such a name.
 func NewID(instance, local string) ID { return ID{instance: instance, local: local} }
 
 // NewPartnerID returns the id of a partner's job; the entry instance generates unique.
--- a/internal/request/job/job.go
+++ b/internal/request/job/job.go
@@ -10,9 +10,11 @@
 type Spec struct {
 	Submission SubmissionID
 	Class      *Class
-	Team       string
+	// Team is the caller's team, whose TeamQuota applies.
+	Team string
 	// NotAfter is the time after which no task may start.
-	NotAfter   time.Time
+	NotAfter time.Time
+	// Repeatable is false if the catalogue entry or the caller says that tasks must run at most once.
 	Repeatable bool
 	Tasks      []TaskSpec
 	// FirstAttempt is the number of the first attempt at each task; 0 stands for 1. For a job that was taken over from a lost entry
--- a/internal/request/job/job_test.go
+++ b/internal/request/job/job_test.go
@@ -19,8 +19,8 @@
 	})
 }
 
-// A task was sent to a backend server, revoked there and sent to another. The answer to the first attempt, to another submission, or
-// to a task that was never sent is taken for the answer to the second attempt.
+// A task was sent to a backend server, revoked there and sent to another. Fails if the answer to the first attempt, to another submission,
+// or to a task that was never sent is taken for the answer to the second attempt.
 func TestOnlyTheCurrentAttemptCounts(t *testing.T) {
 	tests := map[string]struct {
 		id   job.TaskID
@@ -45,7 +45,7 @@
 	}
 }
 
-// A task is sent again without proof that its last start had no effect, and so runs twice.
+// Fails if a task is sent again without proof that its last start had no effect, and so runs twice.
 func TestOnlyProofAllowsResend(t *testing.T) {
 	tests := map[string]struct {
 		steps []func(*job.Task) bool
@@ -71,7 +71,7 @@
 	}
 }
 
-// A job that ends early is reported as not run though one of its tasks may have run.
+// Fails if a job that ends early is reported as not run though one of its tasks may have run.
 func TestFailureVerdict(t *testing.T) {
 	tests := map[string]struct {
 		steps func(jb *job.Job)
@@ -104,7 +104,7 @@
 	}
 }
 
-// A job that was taken over loses an answer that it already has, or reuses numbers of attempts that were fenced.
+// Fails if a job that was taken over loses an answer that it already has, or reuses numbers of attempts that were fenced.
 func TestTakenOverJob(t *testing.T) {
 	is := is.New(t)
 	jb := job.New(job.NewID("entry-2~a", "1"), job.Spec{
@@ -119,7 +119,7 @@
 	is.Equal(jb.NextAttempt(), uint32(101))
 }
 
-// An id without instance or name is accepted, or a valid one is changed by parsing.
+// Fails if an id without instance or name is accepted, or a valid one is changed by parsing.
 func TestParseID(t *testing.T) {
 	tests := map[string]struct {
 		txt  string
--- a/internal/request/order/order_test.go
+++ b/internal/request/order/order_test.go
@@ -31,7 +31,7 @@
 	return names
 }
 
-// A long job starves behind shorter ones that arrive later, unless ageing outweighs their remaining work.
+// Fails if a long job starves behind shorter ones that arrive later, though ageing outweighs their remaining work.
 func TestShortestFirstWithAgeing(tst *testing.T) {
 	for name, tcs := range map[string]struct {
 		ageing float64
@@ -52,7 +52,7 @@
 	}
 }
 
-// One partner's burst starves the other, unless the partner with less slot time is served next.
+// Fails if one partner's burst starves the other because the partner with less slot time is not served next.
 func TestPartnersShareSlotTime(tst *testing.T) {
 	iss := is.New(tst)
 	que := order.NewQueue[string](1)
@@ -74,7 +74,7 @@
 	iss.Equal(que.Next(), burst) // the only partner with jobs
 }
 
-// A partner's slot time from a period when no other had work delays its next job behind the other's large one.
+// Fails if a partner's slot time from a period when no other had work delays its next job behind the other's large one.
 func TestIdlePartnerIsNotCharged(tst *testing.T) {
 	iss := is.New(tst)
 	que := order.NewQueue[string](1)
@@ -87,8 +87,8 @@
 	iss.Equal(que.Next().Value, "small")
 }
 
-// A declaration that is wrong by a factor is used for too long, stragglers are taken for a change of the workload, or a real change
-// goes unnoticed.
+// Fails if a declaration that is wrong by a factor is used for too long, stragglers are taken for a change of the workload, or a real
+// change goes unnoticed.
 func TestRunTimeEstimator(tst *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	around := func(dur time.Duration) time.Duration {
--- a/internal/request/order/queue.go
+++ b/internal/request/order/queue.go
@@ -6,7 +6,7 @@
 type Item[T any] struct {
 	// Value is the caller's data.
 	Value T
-	// queue is the heap that the item is or was in, key its position in the order, lower first.
+	// queue is the heap that the item is or was in; key is what the heap is ordered by, least first.
 	queue *partnerQueue[T]
 	key   float64
 	// seq is the number of the item's first Put, which orders items of equal keys.
@@ -37,8 +37,8 @@
 	seq uint64
 	// len is the number of jobs in the queue.
 	len int
-	// busy counts the busy periods; one begins when a job is put into the empty queue.
-	busy uint64
+	// busyPeriod counts the busy periods; one begins when a job is put into the empty queue.
+	busyPeriod uint64
 }
 
 // NewQueue returns an empty Queue. With ageing 0 the shortest job always goes first; the larger ageing is, the closer the order
@@ -101,12 +101,12 @@
 }
 
 // BusyPeriod returns the number of the current busy period, which Charge expects.
-func (que *Queue[T]) BusyPeriod() uint64 { return que.busy }
+func (que *Queue[T]) BusyPeriod() uint64 { return que.busyPeriod }
 
 // Charge adds slot time to a partner's account; a negative time corrects an estimate that was too high. A charge for an earlier
 // busy period is ignored.
-func (que *Queue[T]) Charge(partner string, slotTime time.Duration, busy uint64) {
-	if busy == que.busy {
+func (que *Queue[T]) Charge(partner string, slotTime time.Duration, busyPeriod uint64) {
+	if busyPeriod == que.busyPeriod {
 		que.partnerQueueOf(partner).usedSeconds += slotTime.Seconds()
 	}
 }
@@ -114,7 +114,7 @@
 // startBusy begins a busy period and resets all accounts: slots that a partner used while the other had nothing to run don't count
 // against it. Otherwise its next short job waits until a large job of the other partner has used as much slot time.
 func (que *Queue[T]) startBusy() {
-	que.busy++
+	que.busyPeriod++
 	for _, pqu := range que.partners {
 		pqu.usedSeconds = 0
 	}
--- a/internal/request/roundtrip/roundtrip_test.go
+++ b/internal/request/roundtrip/roundtrip_test.go
@@ -7,11 +7,12 @@
 	"github.com/matryer/is"
 )
 
-// A link fills, and answers that took 2 ms take 150 ms. With a constant timeout of 100 ms each order is retried, the servers get two
-// orders for one, and the link stays full.
+// A link fills, and answers that took 2 ms take 150 ms. Fails if the timeout doesn't follow: with a constant one of 100 ms each order is
+// retried, the servers get two orders for one, and the link stays full.
 func TestTimeout(t *testing.T) {
 	const least, most = 100 * time.Millisecond, 300 * time.Millisecond
 	cases := map[string]struct {
+		// took has numbers of milliseconds.
 		took     []time.Duration
 		from, to time.Duration
 	}{
--- a/internal/request/submission/admit.go
+++ b/internal/request/submission/admit.go
@@ -9,19 +9,20 @@
 
 // Admission is decided per job when it arrives.
 //
-// It limits the load in bursts of several times the pool's capacity. If all jobs were admitted, a third would wait until their deadline
-// and fail, most others would be late, and jobs with some tasks done would be lost with their last tasks. A job that can't be done while
-// its answer is useful is refused at once, before anything has run; those that are admitted are done.
+// It limits the load in bursts of several times the pool's capacity. If all jobs were admitted, a third would wait until their deadline and
+// fail, most others would be late, and jobs of several tasks would fail after some of their tasks had run. A job is refused at once, before
+// anything has run, if it is expected to be done neither in time, nor, in the rank of late work, while its answer is useful, nor, in the
+// last rank, before its caller gives up; so those that are admitted are done.
 //
-// No job is refused while a server has free capacity. A job that will be late is admitted as long as late work gets its turn before the
-// answer is useless.
+// No job is refused for overload on arrival while a server is believed to have free capacity.
 
 const (
 	// usefulFactor times the objective is how long an answer is useful (the platform's documentation says what a late answer earns).
 	usefulFactor = 3
-	// shareWeight makes a route's fullTimeoutShare an average of about the last 32 calls. Only from minFullTimeoutShare on is a caller
-	// with less time left taken for one that repeats its call: after a power loss, half of the calls are repeated ones for a second.
-	shareWeight         = 1.0 / 32
+	// shareWeight is the weight of a new call in fullTimeoutShare, an average of about the last 32 calls.
+	shareWeight = 1.0 / 32
+	// minFullTimeoutShare is the least fullTimeoutShare of a route at which a caller's time left tells whether it repeats its call. It is
+	// well below 1, as after a power loss half of the calls are repeated ones for a second.
 	minFullTimeoutShare = 0.3
 	// minNewCallerShare is the least share of the estimated useful time that a new caller has left. It is not 1, as one estimate in a
 	// hundred is two and a half times too long.
@@ -178,8 +179,8 @@
 	return all.CapacityWait(0, int64(stp.Count-1)*stp.Processor)
 }
 
-// retryAfter returns when a refused caller should retry: after the wait, at least the configured time, plus a part of the same length
-// that depends on the job's id. Otherwise all callers refused in a burst would retry at once.
+// retryAfter returns the delay after which a refused caller should retry: the wait, or Config.RetryAfter if that is longer, lengthened by a
+// share between 0 and 1 of itself derived from a hash of the job's id. Without the share all callers refused in a burst would retry at once.
 func (crd *Coordinator) retryAfter(jb *job, wait time.Duration) time.Duration {
 	wait = max(wait, crd.cfg.RetryAfter)
 	hsh := fnv.New32a()
@@ -187,8 +188,8 @@
 	return wait + time.Duration(float64(wait)*float64(hsh.Sum32())/(1<<32))
 }
 
-// shouldRefuse reports whether a job is to be refused after a leader reported that a task of it can't start while useful: nothing of the
-// job has started, and no shard that was not tried is believed to have free capacity.
+// shouldRefuse reports whether a task's job is to be refused after a leader reported that the task can't start while useful: nothing of the
+// job has started, and the task was returned more than maxReturns times or no shard is believed to have free capacity.
 func (crd *Coordinator) shouldRefuse(tsk *task) bool {
 	return !tsk.job.started && (tsk.returns > maxReturns || !crd.anyFreeCapacity(tsk.job))
 }
--- a/internal/request/submission/admit_test.go
+++ b/internal/request/submission/admit_test.go
@@ -33,13 +33,13 @@
 	hrn.record(hrn.crd.HandleLoad("a.0", lod))
 }
 
-// Four times as many jobs arrive as can be done. If all are admitted, most are late and a third wait until their deadline in vain: a job
-// that can't be done while useful must be refused at once, but none while a server has free capacity.
+// Fails if a job that is not expected to be done before its caller gives up is admitted, or one is refused while a server has free
+// capacity. If four times as many jobs arrive as can be done, and all are admitted, most are late and a third wait in vain.
 func TestAdmission(t *testing.T) {
 	const long = time.Minute
 	cases := map[string]struct {
 		inTime, late, overdue time.Duration
-		room                  int
+		freeTasks             int
 		want                  string
 	}{
 		"in time":         {inTime: 50 * time.Millisecond, late: long, overdue: long, want: "order j.0.0.0 at self/1"},
@@ -48,17 +48,17 @@
 			inTime: 150 * time.Millisecond, late: 600 * time.Millisecond, overdue: time.Second, want: "order j.0.0.0 at self/1",
 		},
 		"never":                             {inTime: 150 * time.Millisecond, late: 600 * time.Millisecond, overdue: long, want: "reply 1 not-run"},
-		"never, but there is free capacity": {inTime: long, late: long, overdue: long, room: 1, want: "order j.0.0.0 at self/1 return-if-busy"},
+		"never, but there is free capacity": {inTime: long, late: long, overdue: long, freeTasks: 1, want: "order j.0.0.0 at self/1 return-if-busy"},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			chk := is.New(t)
 			hrn := newHarness()
 			hrn.setLeader("a.0", true, self, 1, 0)
-			if cse.room == 0 {
+			if cse.freeTasks == 0 {
 				hrn.setWaits(cse.inTime, cse.late, cse.overdue)
 			} else {
-				hrn.setLeader("a.0", true, self, 2, cse.room)
+				hrn.setLeader("a.0", true, self, 2, cse.freeTasks)
 			}
 			hrn.submitWithTimeout(1, "j", newCallerTimeout)
 			chk.Equal(hrn.takeTexts(), []string{cse.want})
@@ -66,7 +66,7 @@
 	}
 }
 
-// All callers refused in a burst retry in the same second. Each must get its own time, when the waiting work is done at the earliest.
+// Fails if all callers refused in a burst are told to retry in the same second, or one before the waiting work is done.
 func TestRefusedRetryTimesAreSpread(t *testing.T) {
 	chk := is.New(t)
 	hrn := newHarness()
@@ -85,12 +85,13 @@
 	chk.True(most-least > 2*time.Second)
 }
 
-// All instances lose power. The jobs that were cut off are submitted again, unmarked, together with as many new ones, and are admitted in
-// their place though their callers have little time left.
+// All instances lose power. The jobs cut off are submitted again, with no mark that they are repeated, together with as many new ones.
+// Fails if Due and UsefulUntil don't follow from the time that the callers have left.
 func TestResubmittedJob(t *testing.T) {
 	cases := map[string]struct {
 		callerTimeout time.Duration
-		before        int
+		// before is the number of earlier calls with that timeout.
+		before int
 		// late is set if the answer is due already; useful is how long the answer is useful.
 		late   bool
 		useful time.Duration
@@ -112,16 +113,16 @@
 				hrn.submitWithTimeout(CallID(100+num), fmt.Sprint("k", num), cse.callerTimeout)
 			}
 			hrn.submitWithTimeout(1, "j", cse.callerTimeout)
-			plc, ok := hrn.acts[len(hrn.acts)-1].(SendOrder)
+			snd, ok := hrn.acts[len(hrn.acts)-1].(SendOrder)
 			chk.True(ok)
-			chk.Equal(plc.Order.Due.Equal(hrn.now), cse.late)
-			chk.Equal(plc.Order.UsefulUntil.Sub(hrn.now), cse.useful)
+			chk.Equal(snd.Order.Due.Equal(hrn.now), cse.late)
+			chk.Equal(snd.Order.UsefulUntil.Sub(hrn.now), cse.useful)
 		})
 	}
 }
 
-// A job waits with its leader until it can't be done before its deadline, and its caller waits on for an indefinite answer. It must be
-// recalled and answered with NotRun, unless it has started meanwhile.
+// Fails if a job that waits with its leader until it can't be done before its deadline is not recalled and answered with NotRun, so that
+// its caller waits on for an indefinite answer, or if it is answered so although it has started meanwhile.
 func TestJobPastDeadlineIsRecalled(t *testing.T) {
 	const task = "j.0.0.0"
 	cases := map[string]struct {
@@ -154,7 +155,7 @@
 	}
 }
 
-// Callers are told to retry in hours: while no server of any shard answers, nothing is known of how long their jobs would wait.
+// Fails if callers are told to retry in hours while no server of any shard answers and nothing is known of how long their jobs would wait.
 func TestNoServerResponds(t *testing.T) {
 	silent := shard.Load{Number: 9, LinkWindow: 1 << 20}
 	for rnk := range silent.RankWaits {
--- a/internal/request/submission/choose.go
+++ b/internal/request/submission/choose.go
@@ -20,7 +20,8 @@
 	// domain is the shard's failure domain; closed is set while operators have closed it to new work.
 	domain string
 	closed bool
-	// load is the leader's last report, with the free capacity reduced by what was sent since.
+	// load is the leader's last report, with Free reduced and LinkBusy raised by what was sent since. Free is cleared when the leader
+	// returns an order, Closed when the failure domain is opened again.
 	load shard.Load
 	// sentSinceLoad is the processor need, in thousandths of a core, of the tasks sent since the last load report without free capacity
 	// for them.
@@ -48,9 +49,9 @@
 }
 
 // recordSent accounts for a task that was just sent, so that the next one isn't sent for the same free capacity.
-func (viw *shardView) recordSent(stp *Step, bytes int64, fits bool) {
+func (viw *shardView) recordSent(stp *Step, bytes int64, hasCapacity bool) {
 	viw.load.LinkBusy += bytes
-	if !fits {
+	if !hasCapacity {
 		viw.sentSinceLoad += stp.Processor
 		return
 	}
@@ -65,8 +66,8 @@
 // chooseShard returns the shard where a task is expected to start first, and whether the shard is believed to have free capacity for it;
 // the shard is nil if none accepts work. Among equal ones it is the shard with the most free capacity.
 //
-// The pools of a failure domain are small (some 36 tasks of 14 cores): tasks that find theirs full and use free capacity elsewhere don't
-// wait for the 0.9 s that other tasks run.
+// The servers of a failure domain run only some 36 tasks of 14 cores at once. A task that finds no free capacity in its owner's domain is
+// sent to another domain that has some, as running tasks take 0.9 s.
 func (crd *Coordinator) chooseShard(tsk *task, stp *Step) (*shardView, bool) {
 	var bst *shardView
 	var least time.Duration
@@ -76,34 +77,35 @@
 			continue
 		}
 		num := viw.startableTasks(stp.Processor)
-		cst := crd.startDelay(viw, tsk.job)
+		delay := crd.startDelay(viw, tsk.job)
 		if num == 0 {
-			cst += minWaitWhenFull + viw.load.CapacityWait(crd.rank(tsk.job), viw.sentSinceLoad)
+			delay += minWaitWhenFull + viw.load.CapacityWait(crd.rank(tsk.job), viw.sentSinceLoad)
 		}
-		if bst == nil || cst < least || cst == least && num > most {
-			bst, least, most = viw, cst, num
+		if bst == nil || delay < least || delay == least && num > most {
+			bst, least, most = viw, delay, num
 		}
 	}
 	return bst, most > 0
 }
 
-// startDelay returns how much later a job's task starts in a shard than in one that this instance leads, with a free link.
+// startDelay returns the expected delay of a task's start in a shard, apart from the wait for free capacity: the wait for the leader's link
+// and, if another instance leads the shard, for the message and, unless that leader has it, for the payload on this instance's link.
 func (crd *Coordinator) startDelay(viw *shardView, jb *job) time.Duration {
 	byt := shard.StartBytes(jb.sub.Payload)
-	cst := viw.load.LinkWait(byt)
+	delay := viw.load.LinkWait(byt)
 	switch {
 	case viw.leader == crd.cfg.Self:
-		return cst
+		return delay
 	case viw.sameDomain:
-		cst += sameDomainDelay
+		delay += sameDomainDelay
 	default:
-		cst += otherDomainDelay
+		delay += otherDomainDelay
 	}
 	if viw.lastPayloadJob != jb.sub.ID {
 		// The payload is sent once to that leader, for all tasks of the job.
-		cst += crd.cfg.Link.Delay(byt)
+		delay += crd.cfg.Link.Delay(byt)
 	}
-	return cst
+	return delay
 }
 
 // By the platform's documentation the round-trip time within a failure domain is 0.2 ms, to another one 1 to 2 ms, over links that cost
@@ -280,7 +282,7 @@
 
 // recallFor recalls as many waiting tasks from other shards as would start at once in the free capacity of this one.
 func (crd *Coordinator) recallFor(viw *shardView) {
-	var left int64
+	var recalled int64
 	for _, jb := range crd.jobsByArrival() {
 		for _, tks := range jb.tasks {
 			for _, tsk := range tks {
@@ -288,10 +290,10 @@
 					continue
 				}
 				need := jb.sub.Steps[tsk.step].Processor
-				if viw.startableTasks(need) <= left {
+				if viw.startableTasks(need) <= recalled {
 					return
 				}
-				left++
+				recalled++
 				tsk.recalled, tsk.returns = true, 0
 				crd.send(tsk, shard.Order{Recall: true})
 			}
--- a/internal/request/submission/closed_test.go
+++ b/internal/request/submission/closed_test.go
@@ -6,7 +6,8 @@
 	"chestnutstack/internal/request/shard"
 )
 
-// Tasks are ordered from shards of closed failure domains, or jobs wait until their deadline while all failure domains are closed.
+// Fails if tasks are ordered from shards of closed failure domains, or if jobs wait until their deadline while all failure domains are
+// closed.
 func TestClosedDomains(t *testing.T) {
 	cases := map[string]struct {
 		scenario func(hrn *harness)
--- a/internal/request/submission/coordinator.go
+++ b/internal/request/submission/coordinator.go
@@ -97,9 +97,10 @@
 	fullTimeoutShare map[string]float64
 	// servingAt is when a shard was last known to have a leader and a server that answers; until then, when the Coordinator was created.
 	servingAt time.Time
-	// now is the time of the newest event with a time, at most one tick interval ago.
+	// now is the time of the last HandleSubmit, HandleReport, HandleTick or HandleClosedDomains, at most one tick interval ago.
 	now time.Time
-	// heldBytes is the number of bytes that the tasks held back by the link would send.
+	// heldBytes is the sum of the bytes (shard.StartBytes) of the orders held back by the link since the last resume; a task held back
+	// several times counts each time, also if its job was answered since.
 	heldBytes int64
 	acts      []Action
 }
@@ -138,13 +139,15 @@
 	orphanedUntil time.Time
 	done          bool
 	failures      int
-	// returns is how often a leader returned the order because it could not start at once.
+	// returns is the number of NotRun reports on its orders since a recall for free capacity elsewhere last reset it; those on reassigned
+	// orders are not counted.
 	returns int
 	// avoid has the servers where the task failed.
 	avoid []shard.ServerID
 	// server is where the task was last reported to run.
 	server shard.ServerID
-	// queued is set while the task is believed to wait in its leader's queue; recalled once it was recalled from there.
+	// queued is set if the order, not a reassigned one, was sent without ReturnIfBusy, so that the task waits in its leader's queue until
+	// it starts; recalled is set once the order was recalled.
 	queued, recalled bool
 	// reassigned is set while the order is one that was with an earlier leader.
 	reassigned bool
@@ -250,7 +253,7 @@
 // other instances is full.
 func (crd *Coordinator) orderTask(tsk *task) {
 	stp := &tsk.job.sub.Steps[tsk.step]
-	viw, fits := crd.chooseShard(tsk, stp)
+	viw, hasCapacity := crd.chooseShard(tsk, stp)
 	if viw == nil {
 		return // No shard accepts work; the next one that does gets the task.
 	}
@@ -260,14 +263,14 @@
 		return
 	}
 	tsk.shard, tsk.leader, tsk.token = viw.name, viw.leader, viw.token
-	returnIfBusy := fits && tsk.returns < maxReturns
+	returnIfBusy := hasCapacity && tsk.returns < maxReturns
 	tsk.started, tsk.recalled, tsk.reassigned, tsk.queued, tsk.server = false, false, false, !returnIfBusy, ""
 	crd.send(tsk, shard.Order{ReturnIfBusy: returnIfBusy})
 	if viw.leader != crd.cfg.Self && viw.lastPayloadJob != tsk.job.sub.ID {
 		crd.cfg.Link.Sends(tsk.job.sub.Payload)
 		viw.lastPayloadJob = tsk.job.sub.ID
 	}
-	viw.recordSent(stp, shard.StartBytes(tsk.job.sub.Payload), fits)
+	viw.recordSent(stp, shard.StartBytes(tsk.job.sub.Payload), hasCapacity)
 }
 
 // maxReturns is how often a task is tried for free capacity elsewhere before it waits in a queue: each try costs an order and its answer.
@@ -278,8 +281,8 @@
 	return Target{Shard: tsk.shard, Leader: tsk.leader, Token: tsk.token}
 }
 
-// send sends an order for a task, or its recall, to the leader that has the task. Only the fields Bounce, Recall, Followed, At and RunsFor
-// of how are used.
+// send sends an order for a task, or its recall, to the leader that has the task. Only the fields ReturnIfBusy, Recall, Reassigned,
+// LastServer and MayRunFor of how are used.
 func (crd *Coordinator) send(tsk *task, how shard.Order) {
 	jb := tsk.job
 	stp := &jb.sub.Steps[tsk.step]
--- a/internal/request/submission/coordinator_test.go
+++ b/internal/request/submission/coordinator_test.go
@@ -40,14 +40,14 @@
 func (hrn *harness) record(acts []Action) { hrn.acts = append(hrn.acts, acts...) }
 
 // setLeader makes an instance the leader of a shard, in the own or another failure domain, with free capacity for a number of tasks.
-func (hrn *harness) setLeader(name shard.Name, near bool, leader shard.InstanceID, token int64, room int) {
-	tgt := Target{Shard: name, Leader: leader, Token: token}
+func (hrn *harness) setLeader(name shard.Name, inSameDomain bool, leader shard.InstanceID, freeTasks int64, room int) {
+	tgt := Target{Shard: name, Leader: leader, Token: freeTasks}
 	domain := otherDomain
-	if near {
+	if inSameDomain {
 		domain = sameDomain
 	}
 	hrn.record(hrn.crd.HandleLeader(tgt, domain))
-	hrn.record(hrn.crd.HandleLoad(name, shard.Load{Number: token, ServiceRate: 1_000_000, Free: freeList(room), LinkWindow: 1 << 20}))
+	hrn.record(hrn.crd.HandleLoad(name, shard.Load{Number: freeTasks, ServiceRate: 1_000_000, Free: freeList(room), LinkWindow: 1 << 20}))
 }
 
 // setLongQueue reports a load of a shard without free capacity, in which tasks wait for half a second.
@@ -59,9 +59,9 @@
 	hrn.record(hrn.crd.HandleLoad(name, lod))
 }
 
-// freeList returns the free capacity of a number of servers, with room for one task each.
-func freeList(room int) []int64 {
-	fre := make([]int64, room)
+// freeList returns the free capacity of servers that can each start one task.
+func freeList(freeTasks int) []int64 {
+	fre := make([]int64, freeTasks)
 	for idx := range fre {
 		fre[idx] = 14000
 	}
@@ -116,7 +116,7 @@
 	is.New(t).Equal(hrn.takeTexts(), want)
 }
 
-// A task runs twice, is forgotten or is ordered at a worse place than needed, or a caller gets no answer or a wrong one.
+// Fails if a task runs twice, is forgotten or is ordered at a worse place than needed, or a caller gets no answer or a wrong one.
 func TestCoordinatorScenarios(t *testing.T) {
 	const task = "j.0.0.0"
 	cases := map[string]struct {
@@ -309,7 +309,7 @@
 	}
 }
 
-// A task starts before all tasks of the steps that its step depends on are done.
+// Fails if a task starts before all tasks of the steps that its step depends on are done.
 func TestStepDependencies(t *testing.T) {
 	chk := is.New(t)
 	hrn := newHarness()
@@ -327,8 +327,8 @@
 	chk.Equal(hrn.takeTexts(), []string{"reply 1 succeeded"})
 }
 
-// A leader returns an order that doesn't run, but a server may have started it briefly, as its start call got no answer. The job is then
-// answered with NotRun although it may have run.
+// A leader returns an order that doesn't run, but a server may have started it briefly, as its start call got no answer. Fails if the job
+// is then answered with NotRun although it may have run.
 func TestOrderThatMayHaveRun(t *testing.T) {
 	for mayHaveRun, want := range map[bool]Result{true: Unfinished, false: NotRun} {
 		t.Run(fmt.Sprint("may have run: ", mayHaveRun), func(t *testing.T) {
--- a/internal/request/submission/end.go
+++ b/internal/request/submission/end.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// HandleTick is called at short intervals: it orders held tasks, refuses jobs that can't be done in time, and ends submissions whose
-// deadline has passed and the waits for orphaned tasks that are surely over.
+// HandleTick is called at short intervals: it orders held tasks, refuses jobs that can't be done in time, ends submissions whose deadline
+// has passed, and orders orphaned tasks anew whose former run is surely over.
 func (crd *Coordinator) HandleTick(now time.Time) []Action {
 	crd.now = now
 	if crd.anyServing() {
@@ -56,7 +56,7 @@
 			continue
 		}
 		crd.refuseIfTooLate(now, jb)
-		crd.endOrphaned(now, jb)
+		crd.reorderExpired(now, jb)
 	}
 	return crd.takeActions()
 }
@@ -76,7 +76,8 @@
 	crd.orderAllReady()
 }
 
-// HeldBytes returns the number of bytes that the tasks held back by the link would send to other instances.
+// HeldBytes returns the sum of the bytes of the orders that the link has held back since the last resume; a task held back several times
+// counts each time, also if its job was answered since.
 func (crd *Coordinator) HeldBytes() int64 { return crd.heldBytes }
 
 // Shutdown answers all submissions that are still open and refuses later ones. It is called before the instance ends, as a caller whose
@@ -101,8 +102,7 @@
 	crd.answer(jb, Answer{Result: res, RetryAfter: crd.cfg.RetryAfter, Reason: reason})
 }
 
-// mayHaveRun reports whether a task of the job has run or may still start: it has surely not only if no task has started, is with a
-// leader or is orphaned.
+// mayHaveRun reports whether a task of the job has run or may still start: one has started or is done, is with a leader, or is orphaned.
 func (jb *job) mayHaveRun() bool {
 	if jb.started {
 		return true
@@ -117,8 +117,8 @@
 	return false
 }
 
-// endOrphaned orders the orphaned tasks of a job anew whose former run is surely over.
-func (crd *Coordinator) endOrphaned(now time.Time, jb *job) {
+// reorderExpired orders a job's orphaned tasks anew once their orphanedUntil has passed, as their former runs are then surely over.
+func (crd *Coordinator) reorderExpired(now time.Time, jb *job) {
 	ended := false
 	for _, tks := range jb.tasks {
 		for _, tsk := range tks {
--- a/internal/request/submission/too_late_test.go
+++ b/internal/request/submission/too_late_test.go
@@ -10,8 +10,8 @@
 	"chestnutstack/internal/request/shard"
 )
 
-// A job waits on after a leader reported that a task of it can't start while useful and nothing of it has started, or a job is given up
-// of which a task has started.
+// Fails if a job waits on after a leader reported that a task of it can't start while useful and nothing of it has started, or if a job is
+// given up of which a task has started.
 func TestTooLateJob(t *testing.T) {
 	reportTooLate := func(hrn *harness, task string) {
 		hrn.record(hrn.crd.HandleReport(hrn.now, self, shard.Report{Task: task, Token: 1, Outcome: shard.NotRun, TooLate: true}))
@@ -63,7 +63,7 @@
 	}
 }
 
-// All callers whose jobs are refused as too late in a burst retry in the same second.
+// Fails if all callers whose jobs are refused as too late in a burst retry in the same second.
 func TestTooLateRetryTimesAreSpread(t *testing.T) {
 	chk := is.New(t)
 	hrn := newHarness()
--- a/internal/request/verdict/doc.go
+++ b/internal/request/verdict/doc.go
@@ -1,2 +1,2 @@
-// Package verdict tells whether work that did not end well may have run.
+// Package verdict tells whether work has run, may have run or has not.
 package verdict
--- a/internal/request/verdict/verdict.go
+++ b/internal/request/verdict/verdict.go
@@ -19,7 +19,7 @@
 	NotRun
 	// MayHaveRun means that some of the work may have run, with an unknown result.
 	MayHaveRun
-	// Failed means that some of the work ran and failed.
+	// Failed means that some of the work is known to have run and that the answer is not complete.
 	Failed
 )
 
