--- a/internal/process/daemon/callers_test.go
+++ b/internal/process/daemon/callers_test.go
@@ -13,11 +13,11 @@
 // jobSpec describes a job of one step whose tasks are alike.
 type jobSpec struct {
 	id string
-	// path is the queue; "/thumb/" if empty.
+	// path is the path prefix of the route; "/thumb/" if empty.
 	path  string
 	tasks int
-	// patience is how long the caller waits for an answer; 5 s if 0.
-	patience time.Duration
+	// callerTimeout is how long the caller waits for an answer; 5 s if 0.
+	callerTimeout time.Duration
 	// expected is the caller's estimate of a task's run time; the actual one if 0.
 	expected time.Duration
 	payload
@@ -39,18 +39,18 @@
 	if job.path == "" {
 		job.path = "/thumb/"
 	}
-	if job.patience == 0 {
-		job.patience = 5 * time.Second
+	if job.callerTimeout == 0 {
+		job.callerTimeout = 5 * time.Second
 	}
 	if job.expected == 0 {
 		job.expected = time.Duration(job.Millis) * time.Millisecond
 	}
 	text, _ := json.Marshal(job.payload) // Can't fail: the fields are strings, numbers and booleans.
-	ctx, cancel := context.WithTimeout(ctx, job.patience)
+	ctx, cancel := context.WithTimeout(ctx, job.callerTimeout)
 	defer cancel()
 	rep, err := sys.client().Submit(ctx, host+":1", &standin.Job{
 		ID: job.id, Queue: job.path, Tasks: job.tasks, Processor: job.processor(), Memory: 64,
-		Expected: job.expected, Payload: string(text), Patience: job.patience,
+		Expected: job.expected, Payload: string(text), Patience: job.callerTimeout,
 	})
 	if err != nil {
 		return 0, err.Error()
@@ -65,8 +65,8 @@
 	})
 }
 
-// queryQueue asks an instance about a queue and returns the status, 0 if there was no answer.
-func (sys *system) queryQueue(at, path string) int {
+// queryRoute asks an instance about a route and returns the status, 0 if there was no answer.
+func (sys *system) queryRoute(at, path string) int {
 	rep, err := sys.client().Queue(sys.ctx, sys.instances[at].host+":1", path)
 	if err != nil {
 		return 0
--- a/internal/process/daemon/closed.go
+++ b/internal/process/daemon/closed.go
@@ -27,9 +27,9 @@
 	dmn.cnt.badClosings.Add(int64(unreadable))
 	var changed bool
 	if bat.from < 0 {
-		changed = dmn.domains.ApplySnapshot(recs, bat.next)
+		changed = dmn.closedDomains.ApplySnapshot(recs, bat.next)
 	} else {
-		changed = dmn.domains.ApplyRecords(recs, bat.next)
+		changed = dmn.closedDomains.ApplyRecords(recs, bat.next)
 	}
 	dmn.countRefusedClosings()
 	if changed {
@@ -42,7 +42,7 @@
 
 // mergeClosings merges the closed failure domains that another instance knows.
 func (dmn *Daemon) mergeClosings(now time.Time, from shard.InstanceID, viw domainlist.View) {
-	changed := dmn.domains.Merge(viw)
+	changed := dmn.closedDomains.Merge(viw)
 	dmn.countRefusedClosings()
 	if changed {
 		dmn.applyClosings(now, string(from))
@@ -51,7 +51,7 @@
 
 // countRefusedClosings counts and logs the closings that were rejected since its last call.
 func (dmn *Daemon) countRefusedClosings() {
-	if num := dmn.domains.RefusedClosings() - dmn.refusedClosings; num > 0 {
+	if num := dmn.closedDomains.RefusedClosings() - dmn.refusedClosings; num > 0 {
 		dmn.refusedClosings += num
 		dmn.cnt.badClosings.Add(num)
 		dmn.log.Error().Int64("closings", num).Msg("closings of unknown failure domains are refused")
@@ -60,12 +60,12 @@
 
 // applyClosings passes the closed failure domains to the leaders and the coordinator.
 func (dmn *Daemon) applyClosings(now time.Time, from string) {
-	viw := dmn.domains.View()
+	viw := dmn.closedDomains.View()
 	dmn.cnt.closedDomains.Store(int64(len(viw.Closed)))
 	dmn.log.Info().Strs("closed", viw.Closed).Int64("offset", viw.End).Str("from", from).Msg("closed failure domains changed")
 	for shd := range dmn.serversByShard {
 		if ldr := dmn.leaders[shd.Name]; ldr != nil {
-			dmn.runLeaderActions(shd.Name, ldr.SetClosed(now, dmn.domains.Closed(shd.Domain)))
+			dmn.runLeaderActions(shd.Name, ldr.SetClosed(now, dmn.closedDomains.Closed(shd.Domain)))
 		}
 	}
 	if dmn.coordinator != nil {
--- a/internal/process/daemon/closed_test.go
+++ b/internal/process/daemon/closed_test.go
@@ -37,7 +37,7 @@
 	for num := first; dur > 0; dur -= every {
 		prcs := sys.runningProcesses()
 		snts = append(snts, sys.sendAsync(sys.ctx, prcs[num%len(prcs)].name, jobSpec{
-			id: jobID(num), tasks: 2, payload: payload{Millis: 150}, patience: 3 * time.Second,
+			id: jobID(num), tasks: 2, payload: payload{Millis: 150}, callerTimeout: 3 * time.Second,
 		}))
 		num++
 		time.Sleep(every)
--- a/internal/process/daemon/count.go
+++ b/internal/process/daemon/count.go
@@ -39,14 +39,14 @@
 	submissions, refusals, stops, renewals, storeReads, listReads, digests, badDigests, badClosings, logsDropped, lateBatches, pauses atomic.Int64
 	// closedDomains and closedRuns are gauges: the failure domains that are closed to new work, and the runs that this instance leads there.
 	closedDomains, closedRuns atomic.Int64
-	// admittedWithRoom, admittedToWait and notAdmitted count the decisions on submissions; waits has the expected waiting times of
-	// those admitted to wait.
-	admittedWithRoom, admittedToWait, notAdmitted atomic.Int64
-	waits                                         histogram
-	starts                                        [shard.OverCapacity + 1]atomic.Int64
-	answers                                       [submission.Unfinished + 1]atomic.Int64
-	startTimes, answerTimes                       histogram
-	traffic                                       traffic
+	// admittedWithCapacity, admittedToWait and notAdmitted count the decisions on submissions; waits has, for
+	// each job admitted to wait, the expected wait in the last rank that was tried.
+	admittedWithCapacity, admittedToWait, notAdmitted atomic.Int64
+	waits                                             histogram
+	starts                                            [shard.OverCapacity + 1]atomic.Int64
+	answers                                           [submission.Unfinished + 1]atomic.Int64
+	startTimes, answerTimes                           histogram
+	traffic                                           traffic
 }
 
 // countStart counts an answered or failed start call.
@@ -61,7 +61,7 @@
 	case act.Refused:
 		cnt.notAdmitted.Add(1)
 	case act.HasFreeCapacity:
-		cnt.admittedWithRoom.Add(1)
+		cnt.admittedWithCapacity.Add(1)
 	default:
 		cnt.admittedToWait.Add(1)
 		if num := len(act.ExpectedWaits); num > 0 {
@@ -79,7 +79,7 @@
 		}
 		line("submissions", cnt.submissions.Load())
 		line("refusals", cnt.refusals.Load())
-		line("admitted-with-room", cnt.admittedWithRoom.Load())
+		line("admitted-with-room", cnt.admittedWithCapacity.Load())
 		line("admitted-to-wait", cnt.admittedToWait.Load())
 		line("not-admitted", cnt.notAdmitted.Load())
 		cnt.waits.write("expected-wait", line)
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -84,7 +84,8 @@
 	tokenRound  int64
 	coordinator *submission.Coordinator
 	elector     *succession.Elector
-	leaders     map[shard.Name]*shard.Leader
+	// leaders has the leaders of the shards that this instance leads.
+	leaders map[shard.Name]*shard.Leader
 	// uplink is the shared state of the link to the backend servers: its queues and how long an answer may take.
 	uplink *shard.Uplink
 	// serversByShard has the entries of the listed backend servers by shard.
@@ -95,8 +96,8 @@
 	entries map[shard.ServerID]shard.ServerEntry
 	// missing are backend servers whose entries went away while they were not marked as leaving.
 	missing map[shard.ServerID]missingServer
-	// domains has the failure domains closed to new work; refusedClosings counts the rejected closings that were logged.
-	domains         *domainlist.List
+	// closedDomains has the failure domains closed to new work; refusedClosings counts the rejected closings that were logged.
+	closedDomains   *domainlist.List
 	refusedClosings int64
 	// services are all services that a configuration has named since the start; servers of other services are never called.
 	services map[string]bool
@@ -120,7 +121,8 @@
 	// reachability tracks whether the servers of leaderless shards in other failure domains answer; probes counts the probes sent.
 	reachability map[shard.Name]*succession.Reachability
 	probes       int
-	// leadersChanged is set when this instance took over or resigned a shard, or the shards changed; the next tick updates the coordinator.
+	// leadersChanged is set when this instance took over or resigned a shard, or the shards changed; the next tick then passes the leaders to
+	// the coordinator. Changes that other instances report are passed at once.
 	leadersChanged bool
 	// lastTickAt is the time of the last tick; zero before the first.
 	lastTickAt time.Time
@@ -149,12 +151,12 @@
 		prm: prm, log: prm.Log, now: prm.Now, cnt: prm.Counters,
 		leaders: map[shard.Name]*shard.Leader{}, uplink: shard.NewUplink(prm.Settings.LinkBytes), divisions: succession.Divisions{},
 		entries: map[shard.ServerID]shard.ServerEntry{}, missing: map[shard.ServerID]missingServer{},
-		services: map[string]bool{}, domains: domainlist.New(prm.Settings.FailureDomains),
+		services: map[string]bool{}, closedDomains: domainlist.New(prm.Settings.FailureDomains),
 		callers:      map[submission.CallID]chan submission.Answer{},
 		configSentAt: map[shard.InstanceID]time.Time{},
 		reachability: map[shard.Name]*succession.Reachability{}, openOrdersWith: map[shard.InstanceID]bool{},
 		follower:          serverlist.NewFollower(serverlist.DefaultConfig(prm.Settings.Instance), prm.Now()),
-		coverage:          serverlist.NewCoverage(serverlist.CoverageConfig{RecoveryTime: entriesReturnTime, MaxUnlisted: missingTimeout}),
+		coverage:          serverlist.NewCoverage(serverlist.CoverageConfig{RecoveryTime: recoveryTime, MaxUnlisted: maxUnlisted}),
 		listReadRequested: make(chan struct{}, 1),
 		joined:            make(chan struct{}), configured: make(chan struct{}),
 	}
@@ -163,14 +165,15 @@
 // The times of a daemon.
 const (
 	// An instance is lost after four missed heartbeats, 400 ms, plus up to half an interval until the next check. With 100 ms for stops
-	// and the lease of 600 ms, the sum stays under the 1.3 s after which a caller resends its job.
+	// and the lease of 600 ms, the runs of a lost instance are over within minResendAfter.
 	heartbeatInterval = 100 * time.Millisecond
 	missedHeartbeats  = 4
 	// meshTimeout is the timeout of a batch to another instance: 30 round trips to another failure domain.
 	meshTimeout = 150 * time.Millisecond
 	// tickInterval is the maximum delay of a decision that depends on time alone.
 	tickInterval = 20 * time.Millisecond
-	// minResendAfter is the upper bound of that sum: if a caller resends a job earlier, the runs of a lost instance may not be over.
+	// minResendAfter is the shortest time after which a caller may resend a job: by then the runs of a lost instance are over, that is, after
+	// missed heartbeats, stop timeout and lease.
 	minResendAfter = 1300 * time.Millisecond
 	// orphanExpiry is silence, stop timeout, lease expiry and a margin: the time after the loss of a leader when everything that it ran
 	// for this instance is surely over.
@@ -273,7 +276,7 @@
 	dmn.coordinator = submission.NewCoordinator(submission.Config{
 		Self: dmn.self, FailureDomain: set.FailureDomain, OrphanExpiry: orphanExpiry, RetryAfter: retryAfter, LeaderlessTimeout: leaderlessTimeout, Link: dmn.uplink,
 	}, now)
-	dmn.runCoordinatorActions(dmn.coordinator.HandleClosedDomains(now, dmn.domains.View().Closed))
+	dmn.runCoordinatorActions(dmn.coordinator.HandleClosedDomains(now, dmn.closedDomains.View().Closed))
 	close(dmn.joined)
 	dmn.elector = succession.New(succession.DefaultConfig(), succession.Instance{
 		ID: dmn.self, Domain: set.FailureDomain, Cores: set.Processor,
--- a/internal/process/daemon/decide.go
+++ b/internal/process/daemon/decide.go
@@ -105,7 +105,7 @@
 		dmn.logPause(pause)
 	}
 	dmn.lastTickAt = now
-	if dmn.instancesRead && dmn.cfg.Load() != nil && dmn.domains.Initialized() && len(dmn.entries) > 0 {
+	if dmn.instancesRead && dmn.cfg.Load() != nil && dmn.closedDomains.Initialized() && len(dmn.entries) > 0 {
 		if !dmn.elector.Ready() {
 			dmn.elector.SetReady(now)
 			// Two ready instances that don't know of each other's readiness would both take over a shard.
@@ -122,7 +122,7 @@
 	if dmn.leadersChanged {
 		dmn.leadersChanged = false
 		dmn.updateLeaders()
-		dmn.updatePaces()
+		dmn.updateSchedule()
 	}
 	dmn.updateOpenOrders(now)
 	closedRuns := 0
@@ -175,7 +175,7 @@
 	dmn.log.Info().Str("shard", string(name)).Int64("token", tok).Msg("taking the shard over")
 	for shd := range dmn.serversByShard {
 		if shd.Name == name {
-			dmn.runLeaderActions(name, ldr.SetClosed(now, dmn.domains.Closed(shd.Domain)))
+			dmn.runLeaderActions(name, ldr.SetClosed(now, dmn.closedDomains.Closed(shd.Domain)))
 			dmn.runLeaderActions(name, ldr.SetServers(now, dmn.shardListing(now, shd)))
 		}
 	}
@@ -216,7 +216,7 @@
 		ldr.AddOwners(dmn.openOrdersWith)
 	}
 	dmn.coordinator.AddLeaders(dmn.openOrdersWith)
-	dmn.updatePaces()
+	dmn.updateSchedule()
 }
 
 // noteOpenOrder notes an order that is about to be open between this instance and another one: from now on each sends the other a
@@ -224,7 +224,7 @@
 func (dmn *Daemon) noteOpenOrder(id shard.InstanceID) {
 	if !dmn.openOrdersWith[id] && id != dmn.self {
 		dmn.openOrdersWith[id] = true
-		dmn.updatePaces()
+		dmn.updateSchedule()
 	}
 }
 
@@ -251,7 +251,7 @@
 	dmn.serversByShard = dmn.divisions.Divide(ents)
 	for _, mis := range dmn.missing {
 		// Without its shard a leader would resign for want of entries, its servers' leases would expire, and their runs would be lost.
-		if now.Sub(mis.since) <= missingTimeout && dmn.services[mis.ent.Service] {
+		if now.Sub(mis.since) <= maxUnlisted && dmn.services[mis.ent.Service] {
 			dmn.divisions.KeepEmptyShards(dmn.serversByShard, mis.ent.FailureDomain)
 		}
 	}
--- a/internal/process/daemon/entries_test.go
+++ b/internal/process/daemon/entries_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-func TestAllEntriesOfADomainLapse(t *testing.T) {
+func TestAllEntriesOfADomainExpire(t *testing.T) {
 	// Guards against a leader that gives its shard up because the records of all its servers expired while its failure domain was cut off
 	// from the store: its tasks then start elsewhere before their leases have expired.
 	for back := 50 * time.Millisecond; back <= 950*time.Millisecond; back += 100 * time.Millisecond {
--- a/internal/process/daemon/heard.go
+++ b/internal/process/daemon/heard.go
@@ -16,7 +16,7 @@
 	defer dmn.mu.Unlock()
 	bet := mesh.Beat{
 		Domain: dmn.prm.Settings.FailureDomain, Processor: dmn.prm.Settings.Processor, Ready: dmn.elector.Ready(),
-		Leaving: dmn.leaving.Load(), Round: dmn.tokenRound, Divisions: maps.Clone(dmn.divisions), Domains: dmn.domains.View(),
+		Leaving: dmn.leaving.Load(), Round: dmn.tokenRound, Divisions: maps.Clone(dmn.divisions), Domains: dmn.closedDomains.View(),
 	}
 	if cfg := dmn.cfg.Load(); cfg != nil {
 		bet.ConfigVersion = cfg.Version()
@@ -67,7 +67,7 @@
 		// Before anything else, not at the next tick: a shard that another instance leads by now would have its orders on both.
 		dmn.resignSuperseded(now)
 		dmn.updateLeaders()
-		dmn.updatePaces()
+		dmn.updateSchedule()
 	}
 	for _, led := range bet.Leads {
 		if dmn.coordinator.IsLeader(submission.Target{Shard: led.Shard, Leader: from, Token: led.Token}) {
@@ -169,7 +169,7 @@
 	}
 	dmn.runCoordinatorActions(dmn.coordinator.HandleInstanceLost(now, id))
 	dmn.updateLeaders()
-	dmn.updatePaces()
+	dmn.updateSchedule()
 }
 
 // announceLoss tells the instances of the own failure domain that one of theirs is silent: not all of them watch it, perhaps not the one
--- a/internal/process/daemon/instance_faults_test.go
+++ b/internal/process/daemon/instance_faults_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-func TestWaitingTasksMoveToFreeRoom(t *testing.T) {
+func TestWaitingTasksMoveToFreeCapacity(t *testing.T) {
 	// Guards against tasks that stay queued in a failure domain that is busy for long after capacity has become free in another one.
 	// They are recalled and start there.
 	inTestSystem(t, 2, 1, 1, func(sys *system) {
@@ -223,21 +223,21 @@
 	// Missed heartbeats are checked for each half interval, so that a loss is noticed up to half an interval late. When the sum left that out,
 	// the owner started the task 30 ms before the lease had expired.
 	noticed := missedHeartbeats*heartbeatInterval + heartbeatInterval/2 + mesh.ReadTime
-	// A renewal just before the end of the stop's patience extends the lease once more: the whole expiry comes on top.
+	// A renewal just before StopTimeout ends extends the lease once more, so the whole Expiry is added.
 	over := noticed + cfg.StopTimeout + cfg.Expiry()
 	chk.True(over < orphanExpiry)   // After it the owner starts the task elsewhere.
 	chk.True(over < minResendAfter) // After it the caller sends the job again.
-	// An owner sends an order to the shard's new leader once it has missed the former one, and that leader waits at least
-	// the time that is added here before it starts the task.
+	// An owner sends an order to the shard's new leader once it has lost the former one, at the earliest after the missed heartbeats; the new
+	// leader then waits at least shard.Config.OrphanExpiry before it starts the task.
 	chk.True(over < missedHeartbeats*heartbeatInterval+cfg.OrphanExpiry)
 }
 
-func TestShardGoesToAFreshInstanceWhoseListIsShort(t *testing.T) {
+func TestNewInstanceWithIncompleteListTakesOver(t *testing.T) {
 	// Guards against tasks that run twice at once after a takeover by a new instance that never saw the record of a live server: the record
 	// expired before it started. Tasks there must not start elsewhere before the lease from the former leader has expired.
 	inTestSystem(t, 2, 1, 3, func(sys *system) {
 		chk := is.NewRelaxed(t)
-		job := jobSpec{id: jobID(1), tasks: 8, payload: payload{Millis: 2500}, patience: 8 * time.Second}
+		job := jobSpec{id: jobID(1), tasks: 8, payload: payload{Millis: 2500}, callerTimeout: 8 * time.Second}
 		snt := sys.sendAsync(sys.ctx, "entry-2-1", job)
 		time.Sleep(300 * time.Millisecond)
 		chk.Equal(sys.ldg.Running(), 8)
@@ -270,7 +270,7 @@
 	})
 }
 
-func TestServerIsAddedWhileTheStoreTurnsAnInstanceAway(t *testing.T) {
+func TestServerIsAddedWhileInstanceIsCutOffFromStore(t *testing.T) {
 	// Guards against tasks that run twice at once after a takeover by an instance that was cut off from the store when a server was added.
 	// Its list was complete once, and the leader is killed before it has reported that tasks run on the new server.
 	inTestSystem(t, 2, 2, 2, func(sys *system) {
@@ -282,7 +282,7 @@
 		time.Sleep(3 * time.Second)
 		sys.startServer("server-1-0", "domain-1")
 		time.Sleep(time.Second)
-		job := jobSpec{id: jobID(1), tasks: 6, payload: payload{Millis: 2500}, patience: 8 * time.Second}
+		job := jobSpec{id: jobID(1), tasks: 6, payload: payload{Millis: 2500}, callerTimeout: 8 * time.Second}
 		snt := sys.sendAsync(sys.ctx, "entry-2-1", job)
 		time.Sleep(10 * time.Millisecond) // The tasks have started, and no report says where.
 		chk.Equal(sys.ldg.Running(), 6)
--- a/internal/process/daemon/lines_test.go
+++ b/internal/process/daemon/lines_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Guards against log lines that stay in the buffer for longer than logInterval, so that a killed process loses more than its last moments.
+// Guards against log lines that stay in the buffer for longer than logFlushInterval, so that a killed process loses more than its last moments.
 func TestLinesAreWrittenSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		chk := is.New(t)
--- a/internal/process/daemon/list_test.go
+++ b/internal/process/daemon/list_test.go
@@ -120,7 +120,7 @@
 				continue
 			}
 			prc.dmn.mu.Lock()
-			chk.True(!prc.dmn.elector.HasVacantShard("domain-1"))
+			chk.True(!prc.dmn.elector.HasLeaderlessShard("domain-1"))
 			for id := range prc.dmn.elector.Peers() {
 				chk.True(id != sys.instances[led].dmn.self)
 			}
@@ -137,7 +137,7 @@
 
 // Guards against a configuration that doesn't reach instances that are cut off from the store within two seconds, though they are many or a
 // whole failure domain, and though most instances of a large system exchange messages seldom.
-func TestConfigurationReachesManyThatAreTurnedAway(t *testing.T) {
+func TestConfigurationReachesInstancesCutOffFromStore(t *testing.T) {
 	cases := map[string]func(num int, prc *process) bool{
 		"a third of all":         func(num int, _ *process) bool { return num%3 == 0 },
 		"a whole failure domain": func(_ int, prc *process) bool { return prc.domain == "domain-2" },
@@ -155,7 +155,7 @@
 				sys.publishRoutes("/thumb/", "/new/")
 				time.Sleep(2 * time.Second)
 				for at := range sys.instances {
-					chk.Equal(sys.queryQueue(at, "/new/"), http.StatusOK)
+					chk.Equal(sys.queryRoute(at, "/new/"), http.StatusOK)
 				}
 			})
 		})
--- a/internal/process/daemon/load_test.go
+++ b/internal/process/daemon/load_test.go
@@ -75,7 +75,7 @@
 	pad := strings.Repeat("x", 2400)
 	for end := time.Now().Add(dur); time.Now().Before(end); all++ {
 		sys.lastNumber++
-		job := jobSpec{id: jobID(sys.lastNumber), tasks: 8, patience: 2 * time.Second, payload: payload{Millis: 60, Pad: pad}}
+		job := jobSpec{id: jobID(sys.lastNumber), tasks: 8, callerTimeout: 2 * time.Second, payload: payload{Millis: 60, Pad: pad}}
 		to := nms[all%len(nms)]
 		sys.grp.Go(func() error {
 			began := time.Now()
--- a/internal/process/daemon/overload_test.go
+++ b/internal/process/daemon/overload_test.go
@@ -45,8 +45,8 @@
 	// inTime jobs were answered within their objective, late ones within three times that, useless ones later still. Failed ones got
 	// an error or no answer.
 	jobs, inTime, late, useless, refused, failed int
-	// refusedLate counts the refused jobs whose callers learned of it after three times their objective, when an answer had no value any more.
-	refusedLate int
+	// refusedTooLate counts the refused jobs whose callers learned of it after three times their objective, when an answer had no value any more.
+	refusedTooLate int
 	// offeredValue is the value of all jobs, earnedValue that of the answers.
 	offeredValue, earnedValue float64
 	// refusedAfter and failedAfter are the times from a call until it was refused or failed.
@@ -55,7 +55,7 @@
 
 func (otc *jobOutcome) add(oth *jobOutcome) {
 	otc.jobs, otc.inTime, otc.late, otc.useless = otc.jobs+oth.jobs, otc.inTime+oth.inTime, otc.late+oth.late, otc.useless+oth.useless
-	otc.refusedLate += oth.refusedLate
+	otc.refusedTooLate += oth.refusedTooLate
 	otc.refused, otc.failed, otc.offeredValue, otc.earnedValue = otc.refused+oth.refused, otc.failed+oth.failed,
 		otc.offeredValue+oth.offeredValue, otc.earnedValue+oth.earnedValue
 	otc.refusedAfter, otc.failedAfter = append(otc.refusedAfter, oth.refusedAfter...), append(otc.failedAfter, oth.failedAfter...)
@@ -65,7 +65,7 @@
 func (otc *jobOutcome) String() string {
 	return fmt.Sprintf("%6d jobs, in time %.3f, late %.3f, of no use %.3f, refused %.3f (after %v, %v; %d late), failed %.3f, worth %.3f", otc.jobs,
 		otc.share(otc.inTime), otc.share(otc.late), otc.share(otc.useless), otc.share(otc.refused),
-		quantile(otc.refusedAfter, 0.5), quantile(otc.refusedAfter, 0.9), otc.refusedLate, otc.share(otc.failed), otc.earnedValue/max(otc.offeredValue, 1))
+		quantile(otc.refusedAfter, 0.5), quantile(otc.refusedAfter, 0.9), otc.refusedTooLate, otc.share(otc.failed), otc.earnedValue/max(otc.offeredValue, 1))
 }
 
 // share returns a number of jobs as a share of all.
@@ -91,7 +91,7 @@
 	work := time.Duration(lognormal(rnd, float64(jkd.work), 0.4))
 	objective := 60*time.Millisecond + time.Duration(1.6*float64(work))
 	job := jobSpec{
-		id: id, path: jkd.path, tasks: max(1, int(lognormal(rnd, jkd.tasks, 0.4)+0.5)), patience: 1500*time.Millisecond + 3*objective,
+		id: id, path: jkd.path, tasks: max(1, int(lognormal(rnd, jkd.tasks, 0.4)+0.5)), callerTimeout: 1500*time.Millisecond + 3*objective,
 		expected: time.Duration(lognormal(rnd, float64(work), 0.4)),
 		payload:  payload{Millis: int(work.Milliseconds()), Needs: int64(min(max(32000*(1+0.2*rnd.NormFloat64()), 10000), 48000))},
 	}
@@ -187,7 +187,7 @@
 		otc.refused++
 		otc.refusedAfter = append(otc.refusedAfter, snt.took)
 		if snt.took > 3*objective {
-			otc.refusedLate++
+			otc.refusedTooLate++
 		}
 	case snt.status != http.StatusOK:
 		otc.failed++
@@ -204,19 +204,19 @@
 }
 
 // Guards against jobs that are admitted in an overload and are told that they have not run only when their answers would be of no use.
-func TestOverload(t *testing.T) {
+func TestShortOverload(t *testing.T) {
 	dur, rest := runOverload(t, 0, overload{factor: 3, before: time.Second, duration: 2 * time.Second, after: time.Second})
 	all := dur.all()
 	t.Logf("in the overload: %v", &dur)
 	t.Logf("before and after: %v", &rest)
 	chk := is.NewRelaxed(t)
-	chk.True(all.refusedLate*10 <= all.refused)
+	chk.True(all.refusedTooLate*10 <= all.refused)
 	chk.True(all.inTime > all.jobs/3) // A third of three times the usual load is the usual load, which the servers can carry.
 }
 
-// TestOverloads guards against overloads in which more than 2% of the admitted jobs fail or are answered too late to be of use, and prints the
+// TestLongOverloads guards against overloads in which more than 2% of the admitted jobs fail or are answered too late to be of use, and prints the
 // outcomes of all jobs.
-func TestOverloads(t *testing.T) {
+func TestLongOverloads(t *testing.T) {
 	if !*measure {
 		t.Skip("it takes minutes; run with -measure")
 	}
@@ -232,7 +232,7 @@
 			t.Logf("before and after: %v", &rest)
 			all := during.all()
 			chk := is.NewRelaxed(t)
-			chk.True(all.refusedLate*10 <= all.refused)
+			chk.True(all.refusedTooLate*10 <= all.refused)
 			chk.True(all.failed+all.useless <= (all.jobs-all.refused)*2/100)
 		})
 	}
--- a/internal/process/daemon/pace.go
+++ b/internal/process/daemon/pace.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// minPace is the pause, in heartbeat intervals, between two instances that don't depend on each other, in a small system. In a larger
+	// minIntervals is the pause, in heartbeat intervals, between two instances that don't depend on each other, in a small system. In a larger
 	// one the pause grows with the number of instances, so that each one's number of calls doesn't: in one interval it calls about
 	// nearPeersPerBeat instances of its own failure domain and farPeersPerBeat of others.
-	minPace          = 3
+	minIntervals     = 3
 	nearPeersPerBeat = 2
 	farPeersPerBeat  = 2
-	// idlePace is the pause, in heartbeat intervals, between two instances of which neither leads a shard.
-	idlePace = 10
+	// idleIntervals is the pause, in heartbeat intervals, between two instances of which neither leads a shard.
+	idleIntervals = 10
 )
 
-// updatePaces sets how often this instance sends heartbeats to each other one: at every interval if a lease or a takeover depends on it.
-func (dmn *Daemon) updatePaces() {
+// updateSchedule sets how often this instance sends heartbeats to each other one: at every interval if a lease or a takeover depends on it.
+func (dmn *Daemon) updateSchedule() {
 	others := dmn.elector.Peers()
 	own := dmn.prm.Settings.FailureDomain
-	vacant := dmn.elector.HasVacantShard(own)
+	vacant := dmn.elector.HasLeaderlessShard(own)
 	watched := dmn.elector.Neighbours()
 	near := dmn.elector.DomainPeerCount()
-	nearPace := max(minPace, near/nearPeersPerBeat)
-	farPace := max(minPace, (len(others)-near)/farPeersPerBeat)
+	nearPace := max(minIntervals, near/nearPeersPerBeat)
+	farPace := max(minIntervals, (len(others)-near)/farPeersPerBeat)
 	paces := make(map[shard.InstanceID]mesh.Pace, len(others))
 	for id, ins := range others {
 		pace := farPace
@@ -35,7 +35,7 @@
 		case dmn.openOrdersWith[id], watched[id], vacant && ins.Domain == own:
 			pace = 1
 		case !dmn.elector.LeadsAny() && len(ins.Leads) == 0:
-			pace = max(pace, idlePace)
+			pace = max(pace, idleIntervals)
 		}
 		paces[id] = mesh.Pace{Intervals: pace, OpenOrders: dmn.openOrdersWith[id]}
 	}
--- a/internal/process/daemon/random_deployments_test.go
+++ b/internal/process/daemon/random_deployments_test.go
@@ -34,7 +34,7 @@
 	dpl.linkBytes = []int{0, 0, 3_000_000, 1_000_000}[rnd.IntN(4)]
 	var work, bytes float64
 	for range 2 + rnd.IntN(3) {
-		job := jobSpec{tasks: 1 << rnd.IntN(7), patience: 8 * time.Second, payload: payload{
+		job := jobSpec{tasks: 1 << rnd.IntN(7), callerTimeout: 8 * time.Second, payload: payload{
 			Millis: 5 << rnd.IntN(9), Needs: 1000 * (1 + rnd.Int64N(30)), Pad: strings.Repeat("x", 40<<rnd.IntN(7)),
 		}}
 		if rnd.IntN(8) == 0 {
--- a/internal/process/daemon/random_test.go
+++ b/internal/process/daemon/random_test.go
@@ -31,7 +31,7 @@
 			for range 1 + rnd.IntN(3) {
 				job := jobSpec{
 					id: jobID(len(all) + 1), tasks: 1 + rnd.IntN(6), path: []string{"/thumb/", "/deck/"}[rnd.IntN(2)],
-					payload: payload{Millis: 50 + rnd.IntN(800)}, patience: 3 * time.Second,
+					payload: payload{Millis: 50 + rnd.IntN(800)}, callerTimeout: 3 * time.Second,
 				}
 				snt := sys.sendAsync(sys.ctx, sys.randomInstance(rnd), job)
 				ids[snt] = job.id
--- a/internal/process/daemon/reach.go
+++ b/internal/process/daemon/reach.go
@@ -53,7 +53,8 @@
 	}
 	if rch.HandleProbeAnswer(now, asked) {
 		lin.Stringer("verdict", vdt).Msg("shard of another failure domain has no leader and is in reach")
-		// Calls the domain's unheard instances at once: if one leads the shard, it is heard before the shard is taken over.
+		// Calls the domain's unheard instances at once: if one leads the shard, it is heard before the shard is taken over. NudgeIf always calls
+		// the instances that aren't heard; no other needs a call.
 		dmn.mesh.NudgeIf(func(shard.InstanceID) bool { return false })
 	}
 	return nil
--- a/internal/process/daemon/reach_test.go
+++ b/internal/process/daemon/reach_test.go
@@ -43,9 +43,9 @@
 	return num
 }
 
-// TestOutsiderThatNoServerObeys guards against tasks that are stopped at the end of a cut: an instance of another failure domain has taken the shard
+// TestForeignLeaderThatNoServerConfirms guards against tasks that are stopped at the end of a cut: an instance of another failure domain has taken the shard
 // over, and its newer fencing token wins though no server has received it.
-func TestOutsiderThatNoServerObeys(t *testing.T) {
+func TestForeignLeaderThatNoServerConfirms(t *testing.T) {
 	for end := 200 * time.Millisecond; end <= 1200*time.Millisecond; end += 100 * time.Millisecond {
 		t.Run(fmt.Sprint("the cut ends after ", end), func(t *testing.T) {
 			inTestSystem(t, 3, 1, 3, func(sys *system) { runForeignLeader(t, sys, end) })
--- a/internal/process/daemon/server_faults_test.go
+++ b/internal/process/daemon/server_faults_test.go
@@ -65,7 +65,7 @@
 	})
 }
 
-func TestFrozenLeaderWakes(t *testing.T) {
+func TestSuspendedLeaderResigns(t *testing.T) {
 	// Guards against a leader that goes on with its stale state after its machine was suspended for five seconds. Its clock counts that time,
 	// so that it gives its shards up before it sends an order, and its callers' jobs are answered in the end.
 	inTestSystem(t, 2, 2, 2, func(sys *system) {
@@ -98,19 +98,19 @@
 				sys.publishRoutes("/thumb/", "/new/")
 				time.Sleep(2 * time.Second)
 				for at := range sys.instances {
-					chk.Equal(sys.queryQueue(at, "/new/"), http.StatusOK)
-					chk.Equal(sys.queryQueue(at, "/deck/"), http.StatusNotFound)
-					chk.Equal(sys.queryQueue(at, "/never/"), http.StatusNotFound)
+					chk.Equal(sys.queryRoute(at, "/new/"), http.StatusOK)
+					chk.Equal(sys.queryRoute(at, "/deck/"), http.StatusNotFound)
+					chk.Equal(sys.queryRoute(at, "/never/"), http.StatusNotFound)
 				}
 				sys.net.Heal()
 				time.Sleep(3 * time.Second)
-				chk.Equal(sys.queryQueue("entry-1-1", "/new/"), http.StatusOK)
+				chk.Equal(sys.queryRoute("entry-1-1", "/new/"), http.StatusOK)
 			})
 		})
 	}
 }
 
-func TestStoreIsAway(t *testing.T) {
+func TestStoreIsDown(t *testing.T) {
 	// Guards against jobs that aren't served, or a lost leader that isn't replaced, while the store is down. An instance that starts meanwhile
 	// answers 503 until the store is back; it must join then, even if the answer to its registration is lost.
 	inTestSystem(t, 1, 3, 2, func(sys *system) {
@@ -152,7 +152,7 @@
 		chk.Equal(snt.status, http.StatusOK)
 		sys.publishRoutes("/thumb/", "/late/")
 		time.Sleep(4 * time.Second)
-		chk.Equal(sys.queryQueue("entry-2-2", "/late/"), http.StatusOK)
+		chk.Equal(sys.queryRoute("entry-2-2", "/late/"), http.StatusOK)
 	})
 }
 
--- a/internal/process/daemon/servers.go
+++ b/internal/process/daemon/servers.go
@@ -16,12 +16,12 @@
 }
 
 const (
-	// entriesReturnTime is the time after which, once the store is back, the entries of live servers are back too (2 s, the platform's
+	// recoveryTime is the time after which, once the store is back, the entries of live servers are back too (2 s, the platform's
 	// documentation) and were read.
-	entriesReturnTime = 2500 * time.Millisecond
-	// missingTimeout is how long a server without an entry may still be led by some instance: longer than the longest known outage on the
+	recoveryTime = 2500 * time.Millisecond
+	// maxUnlisted is how long a server without an entry may still be led by some instance: longer than the longest known outage on the
 	// platform, 11.5 s.
-	missingTimeout = 30 * time.Second
+	maxUnlisted = 30 * time.Second
 )
 
 // serverChanges has the names of the servers whose entries one read or digest of the list has added or changed, and removed.
@@ -76,7 +76,7 @@
 		old.Leaving = true // It gets no new task.
 		dmn.missing[id] = missingServer{ent: old, since: now}
 		maps.DeleteFunc(dmn.missing, func(_ shard.ServerID, mis missingServer) bool {
-			return now.Sub(mis.since) > missingTimeout
+			return now.Sub(mis.since) > maxUnlisted
 		})
 	}
 	dmn.unloggedChanges.removed = append(dmn.unloggedChanges.removed, string(id))
@@ -112,7 +112,7 @@
 		return 0
 	}
 	for _, mis := range dmn.missing {
-		if now.Sub(mis.since) <= missingTimeout {
+		if now.Sub(mis.since) <= maxUnlisted {
 			return 0
 		}
 	}
@@ -139,7 +139,7 @@
 		lst.ReadAt = dmn.listReadAt
 	}
 	for _, mis := range dmn.missing {
-		if now.Sub(mis.since) <= missingTimeout && dmn.divisions.ShardOf(mis.ent) == shd {
+		if now.Sub(mis.since) <= maxUnlisted && dmn.divisions.ShardOf(mis.ent) == shd {
 			lst.Missing = append(lst.Missing, mis.ent)
 		}
 	}
--- a/internal/process/daemon/stall_test.go
+++ b/internal/process/daemon/stall_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestStalledProcesses guards against tasks that run twice at once after processes got no processor time for up to 2.5 s: they receive all
+// TestRandomPauses guards against tasks that run twice at once after processes got no processor time for up to 2.5 s: they receive all
 // messages of that time at once afterwards, also those that their senders have given up on.
-func TestStalledProcesses(t *testing.T) {
+func TestRandomPauses(t *testing.T) {
 	// In seeds 53 and 206 a paused leader resumes with a fencing token that servers no longer accept, and owners send it orders for tasks that
 	// its successor runs. It must not report these tasks as not run (logged as "report" "not-run" when the order that "followed" arrives).
 	for _, seed := range []uint64{0, 1, 53, 206} {
@@ -28,7 +28,7 @@
 			for range 1 + rnd.IntN(4) {
 				job := jobSpec{
 					id: jobID(len(all) + 1), tasks: 1 + rnd.IntN(8), path: []string{"/thumb/", "/deck/"}[rnd.IntN(2)],
-					payload: payload{Millis: 50 + rnd.IntN(1500)}, patience: 4 * time.Second,
+					payload: payload{Millis: 50 + rnd.IntN(1500)}, callerTimeout: 4 * time.Second,
 				}
 				all = append(all, sys.sendAsync(sys.ctx, sys.randomInstance(rnd), job))
 			}
@@ -61,13 +61,14 @@
 	})
 }
 
-// TestStalledAmongTroubles guards against tasks that run twice at once when pauses, the faults of TestRandomTroubles, and callers that send their
+// TestPausesAndFaults guards against tasks that run twice at once when pauses, the faults of TestRandomTroubles, and callers that send their
 // jobs again to another instance 1.3 s after a call without an answer come together.
-func TestStalledAmongTroubles(t *testing.T) {
+func TestPausesAndFaults(t *testing.T) {
 	// In seed 211 a leader that was paused for 2 s sees free capacity before it learns that the owners of its queued tasks are lost. It must not
 	// start these tasks, which the owners have started elsewhere by then (logged as "start" 50 ms before "instance lost" and the "stop").
-	// In seed 126 a leader learns of its successor and sends it the order of a task. It must not start the task again 4 ms later at a server
-	// that still accepts its token: the successor knows only the server of the former run, and reports the task as not run.
+	// In seed 126 an instance that leads a shard and owns a task there learns that another one has taken the shard over, and reassigns the
+	// task's order to it. It must not start the task again itself 4 ms later at a server that still accepts its token: the new leader knows
+	// only the server of the former run, and reports the task as not run.
 	for _, seed := range []uint64{0, 1, 126, 211} {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { runPausesAndFaults(t, seed) })
 	}
@@ -91,7 +92,7 @@
 				for range 1 + rnd.IntN(3) {
 					job := jobSpec{
 						id: jobID(len(all) + 1), tasks: 1 + rnd.IntN(8), path: []string{"/thumb/", "/deck/"}[rnd.IntN(2)],
-						payload: payload{Millis: 50 + rnd.IntN(1500)}, patience: 4 * time.Second,
+						payload: payload{Millis: 50 + rnd.IntN(1500)}, callerTimeout: 4 * time.Second,
 					}
 					all = append(all, sys.sendUntilAnswered(rnd, inTurn, job))
 				}
@@ -125,7 +126,7 @@
 	}
 	first := job
 	if rnd.IntN(6) == 0 {
-		first.patience = time.Duration(1+rnd.IntN(600)) * time.Millisecond
+		first.callerTimeout = time.Duration(1+rnd.IntN(600)) * time.Millisecond
 	}
 	host, done := sys.instances[names[0]].host, make(chan struct{})
 	sys.grp.Go(func() error {
--- a/internal/process/succession/explore_action_test.go
+++ b/internal/process/succession/explore_action_test.go
@@ -10,9 +10,9 @@
 
 // The actions that the decisions of a node return: messages to other nodes, answers to callers and calls of backend servers.
 
-// leader returns the leader of a shard on this node with a token, or nil.
-func (nod *node) leader(name shard.Name, token int64) *shard.Leader {
-	if ldr := nod.ldrs[name]; ldr != nil && ldr.Token() == token {
+// leaderWithToken returns the leader of a shard on this node with a token, or nil.
+func (nod *node) leaderWithToken(name shard.Name, token int64) *shard.Leader {
+	if ldr := nod.leaders[name]; ldr != nil && ldr.Token() == token {
 		return ldr
 	}
 	return nil
@@ -20,19 +20,19 @@
 
 // placeOrder gives an order to the leader of its target; without one the owner is told that the task is lost.
 func (nod *node) placeOrder(now time.Time, tgt submission.Target, ord shard.Order) {
-	ldr := nod.leader(tgt.Shard, tgt.Token)
+	ldr := nod.leaderWithToken(tgt.Shard, tgt.Token)
 	if ldr == nil {
 		nod.report(ord.Owner, shard.Report{Task: ord.Task, Token: tgt.Token, Outcome: shard.Lost})
 		return
 	}
-	nod.noteOrder(ord.Owner)
-	nod.applyLeader(tgt.Shard, ldr.HandleOrder(now, ord))
+	nod.noteOpenOrder(ord.Owner)
+	nod.runLeaderActions(tgt.Shard, ldr.HandleOrder(now, ord))
 }
 
-// noteOrder takes note that there are orders between this node and an instance, which calls for the short heartbeat interval.
-func (nod *node) noteOrder(id shard.InstanceID) {
-	if !nod.ordersWith[id] && id != nod.id {
-		nod.ordersWith[id] = true
+// noteOpenOrder takes note that there are orders between this node and an instance, which calls for the short heartbeat interval.
+func (nod *node) noteOpenOrder(id shard.InstanceID) {
+	if !nod.openOrdersWith[id] && id != nod.id {
+		nod.openOrdersWith[id] = true
 		nod.updateIntervals()
 	}
 }
@@ -40,7 +40,7 @@
 // report sends a report to the owner of a task, which may be this node.
 func (nod *node) report(owner shard.InstanceID, rep shard.Report) {
 	if owner == nod.id {
-		nod.applyOwner(nod.crd.HandleReport(nod.sim.now, nod.id, rep))
+		nod.runCoordinatorActions(nod.coordinator.HandleReport(nod.sim.now, nod.id, rep))
 		return
 	}
 	nod.send(owner, reportMessage{rep})
@@ -55,46 +55,46 @@
 	}
 }
 
-// applyOwner carries out the actions of this node as an owner of jobs.
-func (nod *node) applyOwner(acts []submission.Action) {
+// runCoordinatorActions carries out the actions of this node as an owner of jobs.
+func (nod *node) runCoordinatorActions(acts []submission.Action) {
 	for _, act := range acts {
 		switch act := act.(type) {
 		case submission.SendOrder:
 			nod.sim.note("%s sends order %s to %s %d, reassigned %t, last server %q, recall %t", nod.id, act.Order.Task, act.Target.Leader, act.Target.Token,
 				act.Order.Reassigned, act.Order.LastServer, act.Order.Recall)
 			if act.Target.Leader != nod.id {
-				nod.noteOrder(act.Target.Leader)
+				nod.noteOpenOrder(act.Target.Leader)
 				nod.send(act.Target.Leader, orderMessage{act.Target.Shard, act.Target.Token, act.Order})
 				continue
 			}
-			nod.local = append(nod.local, func() { nod.placeOrder(nod.sim.now, act.Target, act.Order) })
+			nod.localActions = append(nod.localActions, func() { nod.placeOrder(nod.sim.now, act.Target, act.Order) })
 		case submission.CancelOrder:
 			nod.sim.note("%s cancels order %s at %s", nod.id, act.Task, act.Target.Leader)
 			if act.Target.Leader != nod.id {
 				nod.send(act.Target.Leader, cancelMessage{act.Target.Shard, act.Target.Token, act.Task})
 				continue
 			}
-			nod.local = append(nod.local, func() {
-				if ldr := nod.leader(act.Target.Shard, act.Target.Token); ldr != nil {
-					nod.applyLeader(act.Target.Shard, ldr.Cancel(nod.sim.now, nod.id, act.Task))
+			nod.localActions = append(nod.localActions, func() {
+				if ldr := nod.leaderWithToken(act.Target.Shard, act.Target.Token); ldr != nil {
+					nod.runLeaderActions(act.Target.Shard, ldr.Cancel(nod.sim.now, nod.id, act.Task))
 				}
 			})
 		case submission.Reply:
-			if att := nod.calls[act.Call]; att != nil {
-				delete(nod.calls, act.Call)
+			if att := nod.callers[act.Call]; att != nil {
+				delete(nod.callers, act.Call)
 				nod.sim.after(time.Millisecond, func() { att.handleAnswer(act.Answer) })
 			}
 		}
 	}
 }
 
-// applyLeader carries out the actions of a leader on this node, which leaves its shard once it was fenced.
-func (nod *node) applyLeader(name shard.Name, acts []shard.Action) {
-	timeout := nod.upl.AnswerTimeout()
+// runLeaderActions carries out the actions of a leader on this node, which leaves its shard once it was fenced.
+func (nod *node) runLeaderActions(name shard.Name, acts []shard.Action) {
+	timeout := nod.uplink.AnswerTimeout()
 	for _, act := range acts {
 		switch act := act.(type) {
 		case shard.SendReport:
-			nod.local = append(nod.local, func() { nod.report(act.Owner, act.Report) })
+			nod.localActions = append(nod.localActions, func() { nod.report(act.Owner, act.Report) })
 		case shard.StartRun:
 			nod.startRun(name, act, timeout)
 		case shard.StopRun:
@@ -103,8 +103,8 @@
 				reply(shard.RenewResult{}, srv.stop(act))
 			}, func(_ shard.RenewResult, vdt shard.CallResult) {
 				nod.handle(func(now time.Time) {
-					if ldr := nod.leader(name, act.Token); ldr != nil {
-						nod.applyLeader(name, ldr.HandleStopResult(now, act.Server.ID, act.Run, vdt))
+					if ldr := nod.leaderWithToken(name, act.Token); ldr != nil {
+						nod.runLeaderActions(name, ldr.HandleStopResult(now, act.Server.ID, act.Run, vdt))
 					}
 				})
 			})
@@ -112,8 +112,8 @@
 			nod.sim.after(act.Delay, func() { nod.deliver(fmt.Sprint("pause ", nod.sim.count), func() { nod.renew(name, act, timeout) }) })
 		}
 	}
-	if ldr := nod.ldrs[name]; ldr != nil && ldr.LostServers() > 0 {
-		nod.stopLeading(name, true)
+	if ldr := nod.leaders[name]; ldr != nil && ldr.LostServers() > 0 {
+		nod.resignShard(name, true)
 	}
 }
 
@@ -125,9 +125,9 @@
 		reply(shard.RenewResult{Clock: srv.clock()}, vdt)
 	}, func(lok shard.RenewResult, vdt shard.CallResult) {
 		nod.handle(func(now time.Time) {
-			nod.upl.HandleStartResult(act.Payload, now.Sub(sent), vdt)
-			if ldr := nod.leader(name, act.Token); ldr != nil {
-				nod.applyLeader(name, ldr.HandleStartResult(now, act.Server.ID, act.Run, vdt, lok.Clock))
+			nod.uplink.HandleStartResult(act.Payload, now.Sub(sent), vdt)
+			if ldr := nod.leaderWithToken(name, act.Token); ldr != nil {
+				nod.runLeaderActions(name, ldr.HandleStartResult(now, act.Server.ID, act.Run, vdt, lok.Clock))
 			}
 		})
 	})
@@ -139,8 +139,8 @@
 	nod.call(act.Server.ID, act.WaitForEnd+timeout, func(srv *fakeServer, reply func(shard.RenewResult, shard.CallResult)) { srv.handleRenew(act, reply) },
 		func(lok shard.RenewResult, vdt shard.CallResult) {
 			nod.handle(func(now time.Time) {
-				if ldr := nod.leader(name, act.Token); ldr != nil {
-					nod.applyLeader(name, ldr.HandleRenewResult(now, sent, act, lok, vdt))
+				if ldr := nod.leaderWithToken(name, act.Token); ldr != nil {
+					nod.runLeaderActions(name, ldr.HandleRenewResult(now, sent, act, lok, vdt))
 				}
 			})
 		})
--- a/internal/process/succession/explore_caller_test.go
+++ b/internal/process/succession/explore_caller_test.go
@@ -75,14 +75,14 @@
 	sim.calls++
 	att := &attempt{job: job, nod: nod, call: submission.CallID(sim.calls)}
 	sim.note("%s is sent to %s: %d tasks of %v", job.id, nod.id, job.tasks, job.runTime)
-	nod.calls[att.call] = att
+	nod.callers[att.call] = att
 	sub := submission.Submission{
 		ID: job.id, Request: job.id, Route: "r", Service: "render", MaxAttempts: 3, CallerTimeout: callerTimeout,
 		Steps:     []submission.Step{{Count: job.tasks, Processor: taskSize, Memory: 64, ExpectedRunTime: job.runTime}},
 		Objective: func(work time.Duration) time.Duration { return 3*work + time.Second },
 	}
 	nod.deliver("caller "+job.id, func() {
-		nod.handle(func(now time.Time) { nod.applyOwner(nod.crd.HandleSubmit(now, att.call, sub)) })
+		nod.handle(func(now time.Time) { nod.runCoordinatorActions(nod.coordinator.HandleSubmit(now, att.call, sub)) })
 	})
 	leaves := callerTimeout
 	if sim.rnd.IntN(6) == 0 {
@@ -91,7 +91,7 @@
 	sim.after(leaves, func() {
 		if !att.ended {
 			nod.deliver("caller "+job.id, func() {
-				nod.handle(func(time.Time) { nod.applyOwner(nod.crd.HandleCallerGone(att.call)) })
+				nod.handle(func(time.Time) { nod.runCoordinatorActions(nod.coordinator.HandleCallerGone(att.call)) })
 			})
 			att.disconnect()
 		}
--- a/internal/process/succession/explore_fault_test.go
+++ b/internal/process/succession/explore_fault_test.go
@@ -67,13 +67,13 @@
 func (sim *simRun) forceTakeover() {
 	nod := sim.anyNode()
 	shds := SortedShards(nod.shards())
-	if nod.dead || nod.leaving || len(shds) == 0 || !nod.elc.Ready() {
+	if nod.dead || nod.leaving || len(shds) == 0 || !nod.elector.Ready() {
 		return
 	}
 	shd := shds[sim.rnd.IntN(len(shds))]
 	nod.deliver("forced", func() {
 		nod.handle(func(now time.Time) {
-			if nod.ldrs[shd.Name] == nil {
+			if nod.leaders[shd.Name] == nil {
 				nod.takeOver(now, shd.Name)
 			}
 		})
@@ -131,18 +131,18 @@
 	if how == 2 {
 		sim.note("%s stops", nod.id)
 		nod.leaving = true
-		nod.elc.SetLeaving()
+		nod.elector.SetLeaving()
 		nod.signalAll()
 	}
 	finish := func() {
 		sim.note("%s ends, how %d", nod.id, how)
 		if how == 2 {
-			nod.handle(func(time.Time) { nod.applyOwner(nod.crd.Shutdown()) })
+			nod.handle(func(time.Time) { nod.runCoordinatorActions(nod.coordinator.Shutdown()) })
 		}
 		nod.dead, nod.powerLost = true, how == 1
-		for _, cal := range sortedKeys(nod.calls) {
+		for _, cal := range sortedKeys(nod.callers) {
 			if how != 1 {
-				nod.calls[cal].disconnect()
+				nod.callers[cal].disconnect()
 			}
 		}
 		sim.after(100*time.Millisecond+dur/2, func() { sim.startNode(nod.name, nod.domain) })
--- a/internal/process/succession/explore_list_test.go
+++ b/internal/process/succession/explore_list_test.go
@@ -32,12 +32,12 @@
 	began := sim.now
 	listed, offset := maps.Clone(sim.listed), sim.offset
 	sim.after(sim.delay(), func() {
-		nod.deliver("list", func() { nod.handle(func(now time.Time) { nod.takeList(now, began, listed, offset) }) })
+		nod.deliver("list", func() { nod.handle(func(now time.Time) { nod.applyFullListing(now, began, listed, offset) }) })
 	})
 }
 
-// takeList takes in the listed servers and the offset of a read that was sent at began; older reads are dropped.
-func (nod *node) takeList(now, began time.Time, listed map[shard.ServerID]bool, offset int64) {
+// applyFullListing takes in the listed servers and the offset of a read that was sent at began; older reads are dropped.
+func (nod *node) applyFullListing(now, began time.Time, listed map[shard.ServerID]bool, offset int64) {
 	if began.Before(nod.listReadAt) {
 		return
 	}
@@ -58,15 +58,15 @@
 			delete(nod.missing, srv.id)
 		}
 	}
-	nod.elc.SetShards(SortedShards(nod.shards()))
+	nod.elector.SetShards(SortedShards(nod.shards()))
 	nod.leadersChanged = true
-	nod.tellServers(now)
+	nod.updateServers(now)
 }
 
-// tellServers gives the listing to the leaders on this node.
-func (nod *node) tellServers(now time.Time) {
+// updateServers gives the listing to the leaders on this node.
+func (nod *node) updateServers(now time.Time) {
 	for shd, ents := range nod.shards() {
-		ldr := nod.ldrs[shd.Name]
+		ldr := nod.leaders[shd.Name]
 		if ldr == nil {
 			continue
 		}
@@ -79,6 +79,6 @@
 				lst.Missing = append(lst.Missing, nod.missing[id])
 			}
 		}
-		nod.applyLeader(shd.Name, ldr.SetServers(now, lst))
+		nod.runLeaderActions(shd.Name, ldr.SetServers(now, lst))
 	}
 }
--- a/internal/process/succession/explore_node_test.go
+++ b/internal/process/succession/explore_node_test.go
@@ -26,23 +26,25 @@
 	// pausedUntil is until when the process gets no processor time; inbox has what it receives meanwhile, by source.
 	pausedUntil time.Time
 	inbox       map[string][]func()
-	// silenceCheckedAt is when the sessions were last checked for silence.
-	tickedAt, silenceCheckedAt, sharedAt, ordersCheckedAt time.Time
-	round                                                 int64
-	elc                                                   *Elector
-	crd                                                   *submission.Coordinator
-	ldrs                                                  map[shard.Name]*shard.Leader
-	upl                                                   *shard.Uplink
-	sessions                                              map[string]*session
-	entries                                               map[shard.ServerID]shard.ServerEntry
-	missing                                               map[shard.ServerID]shard.ServerEntry
-	listReadAt                                            time.Time
-	coverage                                              *serverlist.Coverage
+	// silenceCheckedAt is when the sessions were last checked for silence. tokenRound is the highest round of fencing tokens used or
+	// heard of. openOrdersWith are the instances with which unfinished orders exist, as of openOrdersUpdatedAt; loadsSharedAt is when the
+	// loads of the own shards were last passed to the coordinator.
+	lastTickAt, silenceCheckedAt, loadsSharedAt, openOrdersUpdatedAt time.Time
+	tokenRound                                                       int64
+	elector                                                          *Elector
+	coordinator                                                      *submission.Coordinator
+	leaders                                                          map[shard.Name]*shard.Leader
+	uplink                                                           *shard.Uplink
+	sessions                                                         map[string]*session
+	entries                                                          map[shard.ServerID]shard.ServerEntry
+	missing                                                          map[shard.ServerID]shard.ServerEntry
+	listReadAt                                                       time.Time
+	coverage                                                         *serverlist.Coverage
 	// listOffset is the offset of the last read of the list.
 	listOffset     int64
-	local          []func()
-	calls          map[submission.CallID]*attempt
-	ordersWith     map[shard.InstanceID]bool
+	localActions   []func()
+	callers        map[submission.CallID]*attempt
+	openOrdersWith map[shard.InstanceID]bool
 	reachability   map[shard.Name]*Reachability
 	leadersChanged bool
 }
@@ -70,27 +72,27 @@
 }
 
 const (
-	tickInterval   = 20 * time.Millisecond
-	orphanExpiry   = 1300 * time.Millisecond
-	pauseThreshold = 500 * time.Millisecond
-	recoveryTime   = 2500 * time.Millisecond
-	maxUnlisted    = 30 * time.Second
+	tickInterval       = 20 * time.Millisecond
+	orphanExpiry       = 1300 * time.Millisecond
+	longPauseThreshold = 500 * time.Millisecond
+	recoveryTime       = 2500 * time.Millisecond
+	maxUnlisted        = 30 * time.Second
 )
 
 // startNode starts the next incarnation of an instance.
 func (sim *simRun) startNode(name, domain string) *node {
 	sim.incarnations++
 	nod := &node{
-		sim: sim, name: name, domain: domain, incarnation: sim.incarnations, id: incarnationID(name, sim.incarnations), began: sim.now, round: sim.incarnations,
-		inbox: map[string][]func(){}, ldrs: map[shard.Name]*shard.Leader{}, upl: shard.NewUplink(0),
-		sessions: map[string]*session{}, calls: map[submission.CallID]*attempt{}, ordersWith: map[shard.InstanceID]bool{},
+		sim: sim, name: name, domain: domain, incarnation: sim.incarnations, id: incarnationID(name, sim.incarnations), began: sim.now, tokenRound: sim.incarnations,
+		inbox: map[string][]func(){}, leaders: map[shard.Name]*shard.Leader{}, uplink: shard.NewUplink(0),
+		sessions: map[string]*session{}, callers: map[submission.CallID]*attempt{}, openOrdersWith: map[shard.InstanceID]bool{},
 		entries: map[shard.ServerID]shard.ServerEntry{}, missing: map[shard.ServerID]shard.ServerEntry{}, reachability: map[shard.Name]*Reachability{},
 		silenceCheckedAt: sim.now, coverage: serverlist.NewCoverage(serverlist.CoverageConfig{RecoveryTime: recoveryTime, MaxUnlisted: maxUnlisted}),
 	}
-	nod.crd = submission.NewCoordinator(submission.Config{
-		Self: nod.id, FailureDomain: domain, OrphanExpiry: orphanExpiry, RetryAfter: time.Second, LeaderlessTimeout: 1500 * time.Millisecond, Link: nod.upl,
+	nod.coordinator = submission.NewCoordinator(submission.Config{
+		Self: nod.id, FailureDomain: domain, OrphanExpiry: orphanExpiry, RetryAfter: time.Second, LeaderlessTimeout: 1500 * time.Millisecond, Link: nod.uplink,
 	}, sim.now)
-	nod.elc = New(DefaultConfig(), Instance{ID: nod.id, Domain: domain, Cores: 0.4}, sim.now)
+	nod.elector = New(DefaultConfig(), Instance{ID: nod.id, Domain: domain, Cores: 0.4}, sim.now)
 	for _, oth := range sim.names {
 		if oth != name {
 			nod.sessions[oth] = &session{nod: nod, peer: oth, own: fakeEpoch{incarnation: nod.incarnation}, interval: heartbeatInterval}
@@ -110,21 +112,21 @@
 
 // runLocal carries out the messages of the node to itself.
 func (nod *node) runLocal() {
-	for len(nod.local) > 0 {
-		next := nod.local[0]
-		nod.local = nod.local[1:]
+	for len(nod.localActions) > 0 {
+		next := nod.localActions[0]
+		nod.localActions = nod.localActions[1:]
 		next()
 	}
 }
 
 // heartbeat returns the node's state as sent with each batch.
 func (nod *node) heartbeat() heartbeat {
-	hbt := heartbeat{round: nod.round, listOffset: nod.completeTo(), loads: map[shard.Name]shard.Load{}, ins: Instance{
-		ID: nod.id, Domain: nod.domain, Cores: 0.4, Ready: nod.elc.Ready(), Leaving: nod.leaving, Leads: map[shard.Name]int64{},
+	hbt := heartbeat{round: nod.tokenRound, listOffset: nod.completeTo(), loads: map[shard.Name]shard.Load{}, ins: Instance{
+		ID: nod.id, Domain: nod.domain, Cores: 0.4, Ready: nod.elector.Ready(), Leaving: nod.leaving, Leads: map[shard.Name]int64{},
 	}}
-	for _, name := range sortedKeys(nod.ldrs) {
-		hbt.ins.Leads[name] = nod.ldrs[name].Token()
-		hbt.loads[name] = nod.ldrs[name].Load(nod.sim.now)
+	for _, name := range sortedKeys(nod.leaders) {
+		hbt.ins.Leads[name] = nod.leaders[name].Token()
+		hbt.loads[name] = nod.leaders[name].Load(nod.sim.now)
 	}
 	return hbt
 }
@@ -141,39 +143,39 @@
 // handleHeartbeat takes in a heartbeat and messages of a peer, from which this node was surely heard at the time at.
 func (nod *node) handleHeartbeat(from shard.InstanceID, at time.Time, hbt heartbeat, msgs []any) {
 	nod.handle(func(now time.Time) {
-		for _, name := range sortedKeys(nod.ldrs) {
-			nod.ldrs[name].HandleOwnerHeard(from, at)
+		for _, name := range sortedKeys(nod.leaders) {
+			nod.leaders[name].HandleOwnerHeard(from, at)
 		}
-		nod.round = max(nod.round, hbt.round)
+		nod.tokenRound = max(nod.tokenRound, hbt.round)
 		nod.coverage.HandlePeerComplete(now, hbt.listOffset)
-		if _, changed := nod.elc.HandleHeartbeat(hbt.ins); changed {
-			nod.leaveSuperseded()
+		if _, changed := nod.elector.HandleHeartbeat(hbt.ins); changed {
+			nod.resignSuperseded()
 			nod.updateLeaders()
 			nod.updateIntervals()
 		}
 		for _, name := range sortedKeys(hbt.loads) {
-			if nod.crd.IsLeader(submission.Target{Shard: name, Leader: from, Token: hbt.ins.Leads[name]}) {
-				nod.applyOwner(nod.crd.HandleLoad(name, hbt.loads[name]))
+			if nod.coordinator.IsLeader(submission.Target{Shard: name, Leader: from, Token: hbt.ins.Leads[name]}) {
+				nod.runCoordinatorActions(nod.coordinator.HandleLoad(name, hbt.loads[name]))
 			}
 		}
 		for _, msg := range msgs {
-			nod.take(now, from, msg)
+			nod.handleMessage(now, from, msg)
 		}
 	})
 }
 
-// take handles a message of another node.
-func (nod *node) take(now time.Time, from shard.InstanceID, msg any) {
+// handleMessage handles a message of another node.
+func (nod *node) handleMessage(now time.Time, from shard.InstanceID, msg any) {
 	switch msg := msg.(type) {
 	case orderMessage:
 		nod.placeOrder(now, submission.Target{Shard: msg.shd, Leader: nod.id, Token: msg.token}, msg.ord)
 	case cancelMessage:
-		if ldr := nod.leader(msg.shd, msg.token); ldr != nil {
-			nod.applyLeader(msg.shd, ldr.Cancel(now, from, msg.task))
+		if ldr := nod.leaderWithToken(msg.shd, msg.token); ldr != nil {
+			nod.runLeaderActions(msg.shd, ldr.Cancel(now, from, msg.task))
 		}
 	case reportMessage:
 		nod.sim.note("%s gets a report from %s: %s %v (token %d)", nod.id, from, msg.rep.Task, msg.rep.Outcome, msg.rep.Token)
-		nod.applyOwner(nod.crd.HandleReport(now, from, msg.rep))
+		nod.runCoordinatorActions(nod.coordinator.HandleReport(now, from, msg.rep))
 	}
 }
 
@@ -181,11 +183,11 @@
 func (nod *node) handleLost(id shard.InstanceID, silent bool) {
 	nod.sim.note("%s loses %s", nod.id, id)
 	nod.handle(func(now time.Time) {
-		nod.elc.HandleInstanceLost(now, id, silent)
-		for _, name := range sortedKeys(nod.ldrs) {
-			nod.applyLeader(name, nod.ldrs[name].HandleOwnerLost(now, id))
+		nod.elector.HandleInstanceLost(now, id, silent)
+		for _, name := range sortedKeys(nod.leaders) {
+			nod.runLeaderActions(name, nod.leaders[name].HandleOwnerLost(now, id))
 		}
-		nod.applyOwner(nod.crd.HandleInstanceLost(now, id))
+		nod.runCoordinatorActions(nod.coordinator.HandleInstanceLost(now, id))
 		nod.updateLeaders()
 		nod.updateIntervals()
 	})
@@ -207,7 +209,7 @@
 		nod.silenceCheckedAt = nod.sim.now
 		for _, peer := range nod.sim.names {
 			ses := nod.sessions[peer]
-			if ses == nil || late && !nod.ordersWith[ses.id()] {
+			if ses == nil || late && !nod.openOrdersWith[ses.id()] {
 				continue
 			}
 			if cause, silent := ses.failure(nod.sim.now); cause != "" {
@@ -241,7 +243,7 @@
 			continue
 		}
 		itv := idleInterval
-		if nod.ordersWith[ses.id()] || nod.sim.nodes[peer].domain == nod.domain {
+		if nod.openOrdersWith[ses.id()] || nod.sim.nodes[peer].domain == nod.domain {
 			itv = heartbeatInterval
 		}
 		if itv < ses.interval {
@@ -262,21 +264,21 @@
 
 // tick makes the decisions that are due by time.
 func (nod *node) tick(now time.Time) {
-	if now.Sub(nod.tickedAt) > 60*time.Millisecond {
-		nod.elc.HandlePause(now)
+	if now.Sub(nod.lastTickAt) > 60*time.Millisecond {
+		nod.elector.HandlePause(now)
 	}
-	nod.tickedAt = now
-	if len(nod.entries) > 0 && !nod.leaving && !nod.elc.Ready() {
-		nod.elc.SetReady(now)
+	nod.lastTickAt = now
+	if len(nod.entries) > 0 && !nod.leaving && !nod.elector.Ready() {
+		nod.elector.SetReady(now)
 		nod.signalAll()
 	}
-	nod.leaveSuperseded()
+	nod.resignSuperseded()
 	for _, shd := range SortedShards(nod.shards()) {
-		if ldr := nod.ldrs[shd.Name]; ldr != nil && shd.Domain != nod.domain && ldr.Isolated(now) {
-			nod.stopLeading(shd.Name, false)
+		if ldr := nod.leaders[shd.Name]; ldr != nil && shd.Domain != nod.domain && ldr.Isolated(now) {
+			nod.resignShard(shd.Name, false)
 		}
 	}
-	for _, shd := range nod.elc.Decide(now) {
+	for _, shd := range nod.elector.Decide(now) {
 		if shd.Domain == nod.domain || nod.reachable(now, shd) {
 			nod.takeOver(now, shd.Name)
 		}
@@ -286,21 +288,21 @@
 		nod.updateLeaders()
 		nod.updateIntervals()
 	}
-	if now.Sub(nod.ordersCheckedAt) >= heartbeatInterval {
-		nod.ordersCheckedAt = now
-		clear(nod.ordersWith)
-		for _, name := range sortedKeys(nod.ldrs) {
-			nod.ldrs[name].AddOwners(nod.ordersWith)
+	if now.Sub(nod.openOrdersUpdatedAt) >= heartbeatInterval {
+		nod.openOrdersUpdatedAt = now
+		clear(nod.openOrdersWith)
+		for _, name := range sortedKeys(nod.leaders) {
+			nod.leaders[name].AddOwners(nod.openOrdersWith)
 		}
-		nod.crd.AddLeaders(nod.ordersWith)
+		nod.coordinator.AddLeaders(nod.openOrdersWith)
 		nod.updateIntervals()
 	}
-	for _, name := range sortedKeys(nod.ldrs) {
-		if ldr := nod.ldrs[name]; ldr != nil {
-			nod.applyLeader(name, ldr.Tick(now))
+	for _, name := range sortedKeys(nod.leaders) {
+		if ldr := nod.leaders[name]; ldr != nil {
+			nod.runLeaderActions(name, ldr.Tick(now))
 		}
 	}
-	nod.applyOwner(nod.crd.HandleTick(now))
+	nod.runCoordinatorActions(nod.coordinator.HandleTick(now))
 }
 
 // reachable reports whether the servers of a shard of another failure domain answer probes for long enough, and probes one of them if
@@ -336,35 +338,35 @@
 
 // takeOver begins to lead a shard with a new token.
 func (nod *node) takeOver(now time.Time, name shard.Name) {
-	nod.round++
-	tok := nod.round<<20 | nod.incarnation
+	nod.tokenRound++
+	tok := nod.tokenRound<<20 | nod.incarnation
 	nod.sim.note("%s begins to lead %s with token %d", nod.id, name, tok)
-	ldr := shard.NewLeader(shard.DefaultConfig(), nod.upl, name, tok, now)
-	nod.ldrs[name] = ldr
-	nod.elc.HandleTakeover(now, name, tok)
+	ldr := shard.NewLeader(shard.DefaultConfig(), nod.uplink, name, tok, now)
+	nod.leaders[name] = ldr
+	nod.elector.HandleTakeover(now, name, tok)
 	nod.leadersChanged = true
-	nod.tellServers(now)
+	nod.updateServers(now)
 	nod.signalAll()
 	nod.sim.after(time.Millisecond, func() { nod.deliver("list", nod.readList) })
 }
 
-// stopLeading ends the leadership of a shard.
-func (nod *node) stopLeading(name shard.Name, fenced bool) {
-	ldr := nod.ldrs[name]
+// resignShard ends the leadership of a shard.
+func (nod *node) resignShard(name shard.Name, fenced bool) {
+	ldr := nod.leaders[name]
 	if ldr == nil {
 		return
 	}
 	nod.sim.note("%s leaves %s, fenced %t", nod.id, name, fenced)
-	delete(nod.ldrs, name)
-	nod.applyLeader(name, ldr.Resign())
-	nod.elc.HandleLeadershipEnd(nod.sim.now, name, fenced)
+	delete(nod.leaders, name)
+	nod.runLeaderActions(name, ldr.Resign())
+	nod.elector.HandleLeadershipEnd(nod.sim.now, name, fenced)
 	nod.leadersChanged = true
 }
 
-// leaveSuperseded ends the leadership of shards that another node leads with a newer token.
-func (nod *node) leaveSuperseded() {
-	for _, name := range nod.elc.Superseded() {
-		nod.stopLeading(name, false)
+// resignSuperseded ends the leadership of shards that another node leads with a newer token.
+func (nod *node) resignSuperseded() {
+	for _, name := range nod.elector.Superseded() {
+		nod.resignShard(name, false)
 	}
 	nod.runLocal()
 }
@@ -372,7 +374,7 @@
 // updateLeaders gives the known leaders to the node's decisions as an owner.
 func (nod *node) updateLeaders() {
 	for _, shd := range SortedShards(nod.shards()) {
-		led, tok := nod.elc.Leader(shd)
-		nod.applyOwner(nod.crd.HandleLeader(submission.Target{Shard: shd.Name, Leader: led, Token: tok}, shd.Domain))
+		led, tok := nod.elector.Leader(shd)
+		nod.runCoordinatorActions(nod.coordinator.HandleLeader(submission.Target{Shard: shd.Name, Leader: led, Token: tok}, shd.Domain))
 	}
 }
--- a/internal/process/succession/explore_process_test.go
+++ b/internal/process/succession/explore_process_test.go
@@ -62,17 +62,17 @@
 // handle calls act as an event of the process, and carries out the messages to itself that result.
 func (nod *node) handle(act func(now time.Time)) {
 	now := nod.sim.now
-	if !nod.tickedAt.IsZero() && now.Sub(nod.tickedAt) > pauseThreshold {
-		for _, name := range sortedKeys(nod.ldrs) {
-			nod.ldrs[name].HandlePause(now.Add(50 * time.Millisecond))
+	if !nod.lastTickAt.IsZero() && now.Sub(nod.lastTickAt) > longPauseThreshold {
+		for _, name := range sortedKeys(nod.leaders) {
+			nod.leaders[name].HandlePause(now.Add(50 * time.Millisecond))
 		}
 	}
 	act(now)
 	nod.runLocal()
-	if now.Sub(nod.sharedAt) >= 4*time.Millisecond {
-		nod.sharedAt = now
-		for _, name := range sortedKeys(nod.ldrs) {
-			nod.applyOwner(nod.crd.HandleLoad(name, nod.ldrs[name].Load(now)))
+	if now.Sub(nod.loadsSharedAt) >= 4*time.Millisecond {
+		nod.loadsSharedAt = now
+		for _, name := range sortedKeys(nod.leaders) {
+			nod.runCoordinatorActions(nod.coordinator.HandleLoad(name, nod.leaders[name].Load(now)))
 		}
 		nod.runLocal()
 	}
--- a/internal/process/succession/explore_server_test.go
+++ b/internal/process/succession/explore_server_test.go
@@ -15,7 +15,9 @@
 	id     shard.ServerID
 	domain string
 	// clockRate is the speed of the server's clock relative to true time.
-	clockRate  float64
+	clockRate float64
+	// token is the highest token seen, lease until when the runs may go on by the server's clock; highestRun has the highest run number of each
+	// task; ended are the ends that no renewal has acknowledged, endSeq the number of the last; waiting are the renewals that wait for an end.
 	token      int64
 	lease      time.Duration
 	running    map[string]*fakeRun
--- a/internal/process/succession/explore_session_test.go
+++ b/internal/process/succession/explore_session_test.go
@@ -6,8 +6,11 @@
 	"chestnutstack/internal/request/shard"
 )
 
-// fakeEpoch, session and the batches between nodes follow the rules of package mesh, without sockets: sessions that both sides know of,
-// and one batch at a time, which is retried until there is a receipt and accepted only while it is fresh.
+// The sessions and batches between nodes follow the rules of package mesh, without sockets: sessions that both sides know of, and one batch
+// at a time, which is retried until there is a receipt and accepted only while it is fresh.
+
+// fakeEpoch identifies one side of a session: the incarnation of its process, and the generation, which rises each time that side ends a
+// session.
 type fakeEpoch struct{ incarnation, generation int64 }
 
 func (epo fakeEpoch) before(oth fakeEpoch) bool {
@@ -27,10 +30,10 @@
 	outbox, sending []any
 	numbered        bool
 	// heardAt is until when the peer was surely heard. peerStamp and heartbeatStamp are the peer's time stamps of its newest batch and
-	// heartbeat; peerStampAt is when the former came.
+	// heartbeat; peerStampAt is when peerStamp came.
 	heardAt, peerStamp, heartbeatStamp time.Time
-	// unackedSince and failingSince are since when a batch lacks its receipt and calls get no answer; answeredAt and calledAt are when a
-	// batch was last answered and sent; shortenedAt is when the interval was last shortened.
+	// unackedSince and failingSince are since when a batch lacks its receipt and calls get no answer; answeredAt is when
+	// this side last answered a batch of the peer, calledAt when it last sent one; shortenedAt is when the interval was last shortened.
 	peerStampAt, unackedSince, failingSince, answeredAt, shortenedAt, calledAt time.Time
 	interval                                                                   time.Duration
 	heartbeat                                                                  heartbeat
@@ -133,7 +136,7 @@
 			return
 		}
 		oth.deliver("batch "+nod.name, func() {
-			rcp := oth.session(nod.name).take(bat)
+			rcp := oth.session(nod.name).handleBatch(bat)
 			if !sim.up(ses.peer, nod.name) {
 				return
 			}
@@ -197,8 +200,8 @@
 	ses.finishCall()
 }
 
-// take handles a batch of the peer and returns its receipt.
-func (ses *session) take(bat fakeBatch) fakeBatch {
+// handleBatch handles a batch of the peer and returns its receipt.
+func (ses *session) handleBatch(bat fakeBatch) fakeBatch {
 	now := ses.nod.sim.now
 	before := ses.established
 	current, was, ended := ses.handshake(now, bat)
--- a/internal/process/succession/explore_test.go
+++ b/internal/process/succession/explore_test.go
@@ -24,7 +24,7 @@
 // regressionSeeds are seeds that have shown faults.
 var regressionSeeds = []uint64{1538, 2202, 6459, 12899, 21314, 34062}
 
-// TestExploreOrders guards against tasks that run twice, servers over their capacity and false "not run" answers: random orders of
+// TestExploreOrders guards against tasks that run twice, servers over their capacity and false "not run" answers: random interleavings of
 // message deliveries, message losses, process pauses, expired entries, process ends and takeovers of pure leaders and owners of jobs.
 func TestExploreOrders(t *testing.T) {
 	seeds := slices.Clone(regressionSeeds)
@@ -56,7 +56,8 @@
 	t.Log(fil.Name())
 }
 
-// simRun is one random order of events in virtual time.
+// simRun is one random interleaving of events in virtual time. count numbers the events, calls the calls of callers and servers, starts has
+// the starts of each task; offset counts the changes of entries.
 type simRun struct {
 	rnd          *rand.Rand
 	began, now   time.Time
@@ -67,7 +68,7 @@
 	names        []string
 	nodes        map[string]*node
 	servers      []*fakeServer
-	// listed are the servers that have entries in the store; offset counts the changes of entries.
+	// listed are the servers that have entries in the store.
 	listed map[shard.ServerID]bool
 	offset int64
 	// cuts has until when the link from one process to another is cut, in that direction.
@@ -123,7 +124,7 @@
 	return time.Duration(sim.rnd.Int64N(int64(most) + 1))
 }
 
-// delay draws the one-link latency of a message: 1 to 4 ms, and one time in 50 up to 60 ms.
+// delay draws the one-way latency of a message: 1 to 4 ms, and one time in 50 up to 60 ms.
 func (sim *simRun) delay() time.Duration {
 	if sim.rnd.IntN(50) == 0 {
 		return sim.within(60 * time.Millisecond)
@@ -210,7 +211,7 @@
 // leader returns the name of the first node that leads a shard, or "".
 func (sim *simRun) leader(shd shard.Name) string {
 	for _, name := range sim.names {
-		if sim.nodes[name].ldrs[shd] != nil {
+		if sim.nodes[name].leaders[shd] != nil {
 			return name
 		}
 	}
--- a/internal/process/succession/reachability.go
+++ b/internal/process/succession/reachability.go
@@ -11,8 +11,8 @@
 	probing bool
 	// nextProbeAt is the earliest time of the next probe.
 	nextProbeAt time.Time
-	// answeringSince is when the first probe of the present unbroken series of answered ones was sent, lastAnswerAt when the newest was.
-	answeringSince, lastAnswerAt time.Time
+	// answeringSince and lastAnsweredSentAt are when the first and the newest probe of the present unbroken series of answered ones were sent.
+	answeringSince, lastAnsweredSentAt time.Time
 	// failures counts the probes without an answer since the last answer.
 	failures int
 }
@@ -23,7 +23,8 @@
 	// minAnswering is how long the servers must have answered. When a partition ends, heartbeats of that domain's instances arrive again
 	// within this time: a hanging call, the pause after it, and another call.
 	minAnswering = 300 * time.Millisecond
-	// maxAnswerAge is how old the newest answer may be: two probes and their pause. Answers from before a longer gap count for nothing.
+	// maxAnswerAge is how long ago the newest answered probe may have been sent: two probes and their pause. Answers from before a
+	// longer gap count for nothing.
 	maxAnswerAge = 2*ProbeTimeout + minAnswering/2
 	// initialProbePause is the pause after the first probe without an answer; it doubles up to maxProbePause.
 	initialProbePause = 200 * time.Millisecond
@@ -31,9 +32,10 @@
 	maxProbeDoublings = 4
 )
 
-// Confirmed reports whether the servers have answered for at least minAnswering, the last time at most maxAnswerAge ago.
+// Confirmed reports whether the servers have answered for at least minAnswering, and the newest answered probe was sent at most maxAnswerAge
+// ago.
 func (rch *Reachability) Confirmed(now time.Time) bool {
-	return !rch.answeringSince.IsZero() && now.Sub(rch.answeringSince) >= minAnswering && now.Sub(rch.lastAnswerAt) <= maxAnswerAge
+	return !rch.answeringSince.IsZero() && now.Sub(rch.answeringSince) >= minAnswering && now.Sub(rch.lastAnsweredSentAt) <= maxAnswerAge
 }
 
 // StartProbe reports whether to probe a server now; the probe is then in progress until HandleProbeAnswer or HandleProbeFailure.
@@ -48,11 +50,11 @@
 // HandleProbeAnswer ends a probe that was sent at time sent and answered by now, and reports whether its answer is the first of a series.
 func (rch *Reachability) HandleProbeAnswer(now, sent time.Time) (first bool) {
 	rch.probing = false
-	first = rch.answeringSince.IsZero() || sent.Sub(rch.lastAnswerAt) > maxAnswerAge
+	first = rch.answeringSince.IsZero() || sent.Sub(rch.lastAnsweredSentAt) > maxAnswerAge
 	if first {
 		rch.answeringSince = sent
 	}
-	rch.lastAnswerAt, rch.nextProbeAt, rch.failures = sent, now.Add(minAnswering/2), 0
+	rch.lastAnsweredSentAt, rch.nextProbeAt, rch.failures = sent, now.Add(minAnswering/2), 0
 	return first
 }
 
--- a/internal/process/succession/reachability_test.go
+++ b/internal/process/succession/reachability_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestReachNeedsAnswersWithoutAGap guards against a takeover because of answers that servers gave long ago.
-func TestReachNeedsAnswersWithoutAGap(t *testing.T) {
+// TestReachabilityNeedsAnswersWithoutGap guards against a takeover because of answers that servers gave long ago.
+func TestReachabilityNeedsAnswersWithoutGap(t *testing.T) {
 	const latency = 5 * time.Millisecond
 	type probe struct {
 		after    time.Duration
--- a/internal/process/succession/ring.go
+++ b/internal/process/succession/ring.go
@@ -23,8 +23,8 @@
 	return near
 }
 
-// NotifyRank returns how many instances precede the own one in sending another instance the news that it lacks; the receiver's
-// neighbours come first.
+// NotifyRank returns the own turn, 0 for the first, in sending another instance the news that it lacks: the receiver's ring neighbours have
+// turns 0 and 1, all others 1 plus their DutyRank for the receiver. Two instances may have the same turn.
 func (elc *Elector) NotifyRank(to shard.InstanceID) int {
 	if ins := elc.peers[to]; ins != nil && ins.Domain == elc.self.Domain {
 		if idx := slices.Index(elc.ringNeighbours(to), elc.self.ID); idx >= 0 {
--- a/internal/process/succession/shards.go
+++ b/internal/process/succession/shards.go
@@ -14,7 +14,8 @@
 // better, but with 64 servers a shard a quarter of the instances sent all starts.
 const serversPerShard = 9
 
-// Divisions has the division into shards of each failure domain, by its name.
+// Divisions has the division into shards of each failure domain, by its name. A division with Stamp 0 is provisional: no instance has acted
+// on it yet. Of two confirmed ones the higher stamp wins, then the higher count.
 type Divisions map[string]shard.Division
 
 // Merge adopts the newer divisions of another instance, by stamp and then by count, and reports whether any division has changed.
@@ -40,8 +41,9 @@
 	}
 }
 
-// Divide assigns backend servers to shards, those of a failure domain evenly by hash. A domain's number of shards grows only when the
-// servers call for at least twice as many, as each change moves servers between leaders.
+// Divide adjusts the number of shards of each failure domain to the number of its servers, and assigns its servers to them evenly by hash. A
+// provisional number follows the servers; a confirmed one grows only when the servers call for at least twice as many, as each change moves
+// servers between leaders.
 func (dvs Divisions) Divide(ents []shard.ServerEntry) map[Shard][]shard.ServerEntry {
 	byDomain := map[string][]shard.ServerEntry{}
 	for _, ent := range ents {
--- a/internal/process/succession/succession.go
+++ b/internal/process/succession/succession.go
@@ -91,8 +91,8 @@
 	// pausedAt is when the last pause of the own process was noticed; hadLeader has the shards that were once seen to have a leader.
 	pausedAt  time.Time
 	hadLeader map[shard.Name]bool
-	// vacantSince is since when a shard has had no leader, or a replaceable one.
-	vacantSince map[shard.Name]time.Time
+	// takeableSince is since when a shard has had no known leader, or a replaceable one.
+	takeableSince map[shard.Name]time.Time
 	// silentPeers is how many instances of the own failure domain have fallen silent in a row, with less than PauseGrace between two;
 	// silentAt is when the last one did.
 	silentPeers int
@@ -118,7 +118,7 @@
 	return &Elector{
 		cfg: cfg, self: self,
 		started: now, lastPeerLostAt: now,
-		peers: map[shard.InstanceID]*Instance{}, vacantSince: map[shard.Name]time.Time{}, backoffs: map[shard.Name]backoff{},
+		peers: map[shard.InstanceID]*Instance{}, takeableSince: map[shard.Name]time.Time{}, backoffs: map[shard.Name]backoff{},
 		hadLeader: map[shard.Name]bool{}, claims: claims{},
 	}
 }
@@ -216,8 +216,8 @@
 	return rnk
 }
 
-// HasVacantShard reports whether any shard of a failure domain has no known leader.
-func (elc *Elector) HasVacantShard(domain string) bool {
+// HasLeaderlessShard reports whether any shard of a failure domain has no known leader.
+func (elc *Elector) HasLeaderlessShard(domain string) bool {
 	for _, shd := range elc.shards {
 		if shd.Domain != domain {
 			continue
@@ -259,7 +259,7 @@
 		if !mine && len(take) == 0 && elc.shouldTakeOver(now, shd, led) {
 			take = append(take, shd)
 		}
-		if _, waits := elc.vacantSince[shd.Name]; led == "" || waits {
+		if _, waits := elc.takeableSince[shd.Name]; led == "" || waits {
 			elc.unsettled = append(elc.unsettled, shd)
 		}
 	}
@@ -290,15 +290,15 @@
 	if led != "" {
 		elc.hadLeader[shd.Name] = true
 		if !elc.replaceable(now, shd, led) {
-			delete(elc.vacantSince, shd.Name)
+			delete(elc.takeableSince, shd.Name)
 			return false
 		}
 	} else if elc.hadLeader[shd.Name] && (now.Sub(elc.pausedAt) < elc.cfg.PauseGrace || elc.maybeOverloaded(now)) {
 		return false
 	}
-	since, waiting := elc.vacantSince[shd.Name]
+	since, waiting := elc.takeableSince[shd.Name]
 	if !waiting {
-		elc.vacantSince[shd.Name] = now
+		elc.takeableSince[shd.Name] = now
 		since = now
 	}
 	delay := elc.cfg.TakeoverDelay
--- a/internal/version/config/config.go
+++ b/internal/version/config/config.go
@@ -18,8 +18,8 @@
 	priority, attempts          int
 }
 
-// RouteParams are the fields of a Route, for NewRoute. The response time objective is Target plus Stretch times the duration of the
-// work.
+// RouteParams are the fields of a Route, for NewRoute. The response time objective is Target plus Stretch times the run time of the job
+// without waiting. Attempts is how many failed runs a task may have.
 type RouteParams struct {
 	Name, Host, Prefix, Service string
 	// Timeout is the time that a request may take; 0 if the configuration sets none.
@@ -55,7 +55,7 @@
 // Timeout returns the time that a request of the route may take; 0 if the configuration sets none.
 func (rte Route) Timeout() time.Duration { return rte.timeout }
 
-// Objective returns the response time that callers expect of work that takes a given time.
+// Objective returns the response time that callers expect of a job whose work takes a given time without waiting.
 func (rte Route) Objective(work time.Duration) time.Duration {
 	return rte.target + time.Duration(rte.stretch*float64(work))
 }
--- a/internal/version/domainlist/list.go
+++ b/internal/version/domainlist/list.go
@@ -32,17 +32,18 @@
 // List is an instance's knowledge of the closed failure domains, updated by reads of the log and by the views of peers. It is not safe
 // for concurrent use.
 type List struct {
-	end     int64
-	closed  map[string]bool
-	domains map[string]bool
-	refused int64
+	// end is as View.End; settingsDomains are the failure domains named in the settings; refused is as RefusedClosings returns.
+	end             int64
+	closed          map[string]bool
+	settingsDomains map[string]bool
+	refused         int64
 }
 
 // New returns a list that has read nothing; domains are the failure domains named in the instance's settings.
 func New(domains []string) *List {
-	lst := &List{end: Unread, closed: map[string]bool{}, domains: make(map[string]bool, len(domains))}
+	lst := &List{end: Unread, closed: map[string]bool{}, settingsDomains: make(map[string]bool, len(domains))}
 	for _, dom := range domains {
-		lst.domains[dom] = true
+		lst.settingsDomains[dom] = true
 	}
 	return lst
 }
@@ -123,12 +124,12 @@
 // mayClose reports whether a closing of a domain is accepted. A domain that the settings do not name may have been added to the system
 // since they were written; closing it has no effect until servers are listed there. The number of such domains is bounded.
 func (lst *List) mayClose(domain string) bool {
-	if lst.domains[domain] || lst.closed[domain] {
+	if lst.settingsDomains[domain] || lst.closed[domain] {
 		return true
 	}
 	unknown := 0
 	for dom := range lst.closed {
-		if !lst.domains[dom] {
+		if !lst.settingsDomains[dom] {
 			unknown++
 		}
 	}
--- a/internal/version/serverlist/follower.go
+++ b/internal/version/serverlist/follower.go
@@ -44,17 +44,17 @@
 	// othersRead is the offset before which such readers have read the list; prevNext is the value of next before the last own read.
 	lastDigestAt         time.Time
 	othersRead, prevNext int64
-	// covered is the offset before which the other instances have digests. It is unknown after a full read, whose pages are read at
+	// digestedTo is the offset before which all records are in digests. It is unknown after a full read, whose pages are read at
 	// different times, until the records written meanwhile have been read again.
-	covered     int64
+	digestedTo  int64
 	publishedAt time.Time
-	// changes are the known changes from offset covered on.
+	// changes are the known changes from offset digestedTo on.
 	changes []Change
 }
 
 // NewFollower returns a follower that knows nothing of the list yet.
 func NewFollower(cfg Config, now time.Time) *Follower {
-	return &Follower{cfg: cfg, next: unknown, covered: unknown, lastDigestAt: now}
+	return &Follower{cfg: cfg, next: unknown, digestedTo: unknown, lastDigestAt: now}
 }
 
 // NextOffset returns the offset from which the list is to be read on, negative if it is to be read in full.
@@ -65,7 +65,7 @@
 
 // HandleFullRead takes note of a full read, after which the list goes on at offset next.
 func (fol *Follower) HandleFullRead(next int64) {
-	fol.next, fol.covered, fol.changes, fol.othersRead = next, unknown, nil, 0
+	fol.next, fol.digestedTo, fol.changes, fol.othersRead = next, unknown, nil, 0
 }
 
 // HandleRead takes note of a read of the list from one offset up to another and returns how many of the first of its records were known
@@ -74,15 +74,15 @@
 	known = int(min(max(0, fol.next-from), to-from))
 	fol.prevNext = fol.next
 	fol.next = max(fol.next, to)
-	if fol.covered == unknown {
-		fol.covered, fol.changes = fol.next, nil
+	if fol.digestedTo == unknown {
+		fol.digestedTo, fol.changes = fol.next, nil
 	}
 	return known
 }
 
 // HandleChange adds a record that was just read, and that changed what was known of its server, to the changes to publish.
 func (fol *Follower) HandleChange(chg Change) {
-	if fol.covered != unknown && chg.Offset >= fol.covered {
+	if fol.digestedTo != unknown && chg.Offset >= fol.digestedTo {
 		fol.changes = append(fol.changes, chg)
 	}
 }
@@ -103,16 +103,16 @@
 		}
 	}
 	fol.next = dig.To
-	if fol.covered != unknown {
-		fol.markCovered(dig.To)
+	if fol.digestedTo != unknown {
+		fol.noteDigested(dig.To)
 	}
 	return chgs, true
 }
 
-// markCovered takes note that the other instances have digests of all records before an offset.
-func (fol *Follower) markCovered(to int64) {
-	fol.covered = max(fol.covered, to)
-	fol.changes = slices.DeleteFunc(fol.changes, func(chg Change) bool { return chg.Offset < fol.covered })
+// noteDigested takes note that all records before an offset are in digests.
+func (fol *Follower) noteDigested(to int64) {
+	fol.digestedTo = max(fol.digestedTo, to)
+	fol.changes = slices.DeleteFunc(fol.changes, func(chg Change) bool { return chg.Offset < fol.digestedTo })
 }
 
 // noteOtherReader takes note that another instance reads the list and keeps up with it. Digests that bring nothing new count too: of
@@ -124,27 +124,27 @@
 }
 
 // ReadDue reports whether the instance is to read the list itself: as the first reader, as it knows nothing of the list, or as no
-// digest came for DigestTimeout. before is how many instances precede it in the order of readers.
+// digest came for DigestTimeout. rank is the own place, 0 for the first, in the order of readers.
 func (fol *Follower) ReadDue(now time.Time, before int) bool {
 	return before == 0 || fol.next == unknown || now.Sub(fol.lastDigestAt) > fol.cfg.DigestTimeout
 }
 
 // PendingDigests returns the digests that the instance is to write now: none unless it is the first reader or its turn to replace a
-// silent one, and without changes at most one each IdleInterval. before is how many instances precede it in the order of readers.
+// silent one, and without changes at most one each IdleInterval. rank is the own place, 0 for the first, in the order of readers.
 func (fol *Follower) PendingDigests(now time.Time, before int) []Digest {
 	late := now.Sub(fol.lastDigestAt) - fol.cfg.DigestTimeout - time.Duration(before)*fol.cfg.SubstituteDelay
-	if before > 0 && (before > maxSubstitutes || late <= 0) || fol.covered == unknown || fol.covered == fol.next {
+	if before > 0 && (before > maxSubstitutes || late <= 0) || fol.digestedTo == unknown || fol.digestedTo == fol.next {
 		return nil
 	}
 	if len(fol.changes) == 0 && now.Sub(fol.publishedAt) < fol.cfg.IdleInterval {
 		return nil
 	}
-	dig := Digest{Reader: fol.cfg.Self, From: fol.covered, To: fol.next, Changes: slices.Clone(fol.changes)}
+	dig := Digest{Reader: fol.cfg.Self, From: fol.digestedTo, To: fol.next, Changes: slices.Clone(fol.changes)}
 	return dig.split(maxChanges)
 }
 
 // HandlePublished takes note that a digest was written. A digest whose write got no answer may be written again.
 func (fol *Follower) HandlePublished(now time.Time, dig *Digest) {
 	fol.publishedAt = now
-	fol.markCovered(dig.To)
+	fol.noteDigested(dig.To)
 }
