--- a/internal/process/daemon/carry.go
+++ b/internal/process/daemon/carry.go
@@ -123,15 +123,15 @@
 	defer cancel()
 	srv := platform.Server{ID: act.Server.ID, Address: act.Server.Address}
 	sent := dmn.now()
-	vdt, clk, err := dmn.prm.Servers.Start(ctx, srv, act.Run, act.Payload, act.Token, act.LeaseUntil)
+	clr, clk, err := dmn.prm.Servers.Start(ctx, srv, act.Run, act.Payload, act.Token, act.LeaseUntil)
 	now := dmn.beginEvent()
 	defer dmn.endEvent(now)
-	dmn.cnt.countStart(vdt, now.Sub(sent))
-	dmn.uplink.HandleStartResult(act.Payload, now.Sub(sent), vdt)
+	dmn.cnt.countStart(clr, now.Sub(sent))
+	dmn.uplink.HandleStartResult(act.Payload, now.Sub(sent), clr)
 	dmn.log.Info().Err(err).Str("task", act.Run.Task).Int64("run", act.Run.Number).Str("server", string(act.Server.ID)).
-		Int64("token", act.Token).Dur("took", now.Sub(sent)).Stringer("verdict", vdt).Msg("start")
+		Int64("token", act.Token).Dur("took", now.Sub(sent)).Stringer("verdict", clr).Msg("start")
 	if ldr := dmn.leaderWithToken(name, act.Token); ldr != nil {
-		dmn.runLeaderActions(name, ldr.HandleStartResult(now, act.Server.ID, act.Run, vdt, clk))
+		dmn.runLeaderActions(name, ldr.HandleStartResult(now, act.Server.ID, act.Run, clr, clk))
 	}
 	return nil
 }
@@ -141,14 +141,14 @@
 	ctx, cancel := context.WithTimeout(dmn.ctx, timeout)
 	defer cancel()
 	srv := platform.Server{ID: act.Server.ID, Address: act.Server.Address}
-	vdt, err := dmn.prm.Servers.Stop(ctx, srv, act.Run, act.Token)
+	clr, err := dmn.prm.Servers.Stop(ctx, srv, act.Run, act.Token)
 	now := dmn.beginEvent()
 	defer dmn.endEvent(now)
 	dmn.cnt.stops.Add(1)
 	dmn.log.Info().Err(err).Str("task", act.Run.Task).Int64("run", act.Run.Number).Str("server", string(act.Server.ID)).
-		Stringer("verdict", vdt).Msg("stop")
+		Stringer("verdict", clr).Msg("stop")
 	if ldr := dmn.leaderWithToken(name, act.Token); ldr != nil {
-		dmn.runLeaderActions(name, ldr.HandleStopResult(now, act.Server.ID, act.Run, vdt))
+		dmn.runLeaderActions(name, ldr.HandleStopResult(now, act.Server.ID, act.Run, clr))
 	}
 	return nil
 }
@@ -162,15 +162,15 @@
 	defer cancel()
 	srv := platform.Server{ID: act.Server.ID, Address: act.Server.Address}
 	sent := dmn.now()
-	res, vdt, err := dmn.prm.Servers.Hold(ctx, srv, act.Token, act.AckedSeq, act.LeaseUntil, act.WaitForEnd)
+	res, clr, err := dmn.prm.Servers.Hold(ctx, srv, act.Token, act.AckedSeq, act.LeaseUntil, act.WaitForEnd)
 	now := dmn.beginEvent()
 	defer dmn.endEvent(now)
 	dmn.cnt.renewals.Add(1)
-	if vdt != shard.Accepted {
-		dmn.log.Warn().Err(err).Str("server", string(act.Server.ID)).Stringer("verdict", vdt).Msg("look failed")
+	if clr != shard.Accepted {
+		dmn.log.Warn().Err(err).Str("server", string(act.Server.ID)).Stringer("verdict", clr).Msg("look failed")
 	}
 	if ldr := dmn.leaderWithToken(name, act.Token); ldr != nil {
-		dmn.runLeaderActions(name, ldr.HandleRenewResult(now, sent, act, res, vdt))
+		dmn.runLeaderActions(name, ldr.HandleRenewResult(now, sent, act, res, clr))
 	}
 	return nil
 }
--- a/internal/process/daemon/count.go
+++ b/internal/process/daemon/count.go
@@ -50,8 +50,8 @@
 }
 
 // countStart counts an answered or failed start call.
-func (cnt *counters) countStart(vdt shard.CallResult, took time.Duration) {
-	cnt.starts[vdt].Add(1)
+func (cnt *counters) countStart(clr shard.CallResult, took time.Duration) {
+	cnt.starts[clr].Add(1)
 	cnt.startTimes.observe(took)
 }
 
@@ -95,8 +95,8 @@
 		line("late-batches", cnt.lateBatches.Load())
 		line("held-up", cnt.pauses.Load())
 		line("log-lines-dropped", cnt.logsDropped.Load())
-		for vdt := range cnt.starts {
-			line("starts-"+shard.CallResult(vdt).String(), cnt.starts[vdt].Load())
+		for clr := range cnt.starts {
+			line("starts-"+shard.CallResult(clr).String(), cnt.starts[clr].Load())
 		}
 		for res := range cnt.answers {
 			line("answers-"+submission.Result(res).String(), cnt.answers[res].Load())
--- a/internal/process/daemon/entries_test.go
+++ b/internal/process/daemon/entries_test.go
@@ -13,16 +13,16 @@
 func TestAllEntriesOfADomainExpire(t *testing.T) {
 	// Guards against a leader that gives its shard up because the records of all its servers expired while its failure domain was cut off
 	// from the store: its tasks then start elsewhere before their leases have expired.
-	for back := 50 * time.Millisecond; back <= 950*time.Millisecond; back += 100 * time.Millisecond {
-		t.Run(fmt.Sprint("back-after-", back), func(t *testing.T) {
-			inTestSystem(t, 2, 2, 4, func(sys *system) { expireServerEntries(t, sys, back) })
+	for returnAfter := 50 * time.Millisecond; returnAfter <= 950*time.Millisecond; returnAfter += 100 * time.Millisecond {
+		t.Run(fmt.Sprint("back-after-", returnAfter), func(t *testing.T) {
+			inTestSystem(t, 2, 2, 4, func(sys *system) { expireServerEntries(t, sys, returnAfter) })
 		})
 	}
 }
 
 // expireServerEntries removes the records of all servers of a failure domain that is cut off, ends the cut, and writes the records again from
 // some time after that on.
-func expireServerEntries(t *testing.T, sys *system, back time.Duration) {
+func expireServerEntries(t *testing.T, sys *system, returnAfter time.Duration) {
 	t.Helper()
 	chk := is.NewRelaxed(t)
 	sys.cut("domain-1")
@@ -35,7 +35,7 @@
 	time.Sleep(100 * time.Millisecond)
 	sys.heal()
 	// The leader reads now that all servers are gone, and some 0.4 s later that they are back.
-	time.Sleep(back)
+	time.Sleep(returnAfter)
 	for num := range 4 {
 		// One after the other, as the servers send their heartbeats at different times.
 		sys.listServer(fmt.Sprintf("server-1-%d", num+1), "domain-1", "ready")
--- a/internal/process/daemon/one_way_test.go
+++ b/internal/process/daemon/one_way_test.go
@@ -17,23 +17,23 @@
 		"the owner pauses for 1 s": func(_, own *process) *process { return own },
 	}
 	for name, stall := range stalls {
-		for _, back := range []bool{false, true} {
+		for _, reverse := range []bool{false, true} {
 			for moment := time.Duration(0); moment < time.Second; moment += 250 * time.Millisecond {
-				t.Run(fmt.Sprintf("%s, back %t, after %v", name, back, moment), func(t *testing.T) {
-					inTestSystem(t, 3, 1, 2, func(sys *system) { cutOneWay(t, sys, moment, back, stall) })
+				t.Run(fmt.Sprintf("%s, reverse %t, after %v", name, reverse, moment), func(t *testing.T) {
+					inTestSystem(t, 3, 1, 2, func(sys *system) { cutOneWay(t, sys, moment, reverse, stall) })
 				})
 			}
 		}
 	}
 }
 
-// cutOneWay cuts the network from the owner to the leader, or in the other direction if back is set, for 2 s from a moment after the job was sent
+// cutOneWay cuts the network from the owner to the leader, or in the other direction if reverse is set, for 2 s from a moment after the job was sent
 // on. Without an answer the caller sends its job again, to a third instance.
-func cutOneWay(t *testing.T, sys *system, moment time.Duration, back bool, stall func(led, own *process) *process) {
+func cutOneWay(t *testing.T, sys *system, moment time.Duration, reverse bool, stall func(led, own *process) *process) {
 	t.Helper()
 	led, own := sys.instances["entry-1-1"], sys.instances["entry-2-1"]
 	from, to := own.host, led.host
-	if back {
+	if reverse {
 		from, to = to, from
 	}
 	// Four tasks fit in each domain, so that the owner sends some of the job's tasks to the leader, where some of them wait.
--- a/internal/process/daemon/overload_test.go
+++ b/internal/process/daemon/overload_test.go
@@ -179,9 +179,9 @@
 }
 
 // record counts a call that has ended. An answer after the objective earns a fifth of the value, and nothing after three times the objective.
-func (otc *jobOutcome) record(snt *sentJob, worth float64, objective time.Duration) {
+func (otc *jobOutcome) record(snt *sentJob, value float64, objective time.Duration) {
 	otc.jobs++
-	otc.offeredValue += worth
+	otc.offeredValue += value
 	switch {
 	case snt.status == http.StatusServiceUnavailable:
 		otc.refused++
@@ -194,10 +194,10 @@
 		otc.failedAfter = append(otc.failedAfter, snt.took)
 	case snt.took <= objective:
 		otc.inTime++
-		otc.earnedValue += worth
+		otc.earnedValue += value
 	case snt.took <= 3*objective:
 		otc.late++
-		otc.earnedValue += worth / 5
+		otc.earnedValue += value / 5
 	default:
 		otc.useless++
 	}
@@ -214,8 +214,8 @@
 	chk.True(all.inTime > all.jobs/3) // A third of three times the usual load is the usual load, which the servers can carry.
 }
 
-// TestLongOverloads guards against overloads in which more than 2% of the admitted jobs fail or are answered too late to be of use, and prints the
-// outcomes of all jobs.
+// TestLongOverloads guards against overloads in which more than 2% of the admitted jobs fail or are answered too late to be of use, and prints
+// the outcomes of all jobs.
 func TestLongOverloads(t *testing.T) {
 	if !*measure {
 		t.Skip("it takes minutes; run with -measure")
--- a/internal/process/daemon/pace.go
+++ b/internal/process/daemon/pace.go
@@ -20,19 +20,19 @@
 func (dmn *Daemon) updateSchedule() {
 	others := dmn.elector.Peers()
 	own := dmn.prm.Settings.FailureDomain
-	vacant := dmn.elector.HasLeaderlessShard(own)
+	leaderless := dmn.elector.HasLeaderlessShard(own)
 	watched := dmn.elector.Neighbours()
 	near := dmn.elector.DomainPeerCount()
-	nearPace := max(minIntervals, near/nearPeersPerBeat)
-	farPace := max(minIntervals, (len(others)-near)/farPeersPerBeat)
+	nearIntervals := max(minIntervals, near/nearPeersPerBeat)
+	farIntervals := max(minIntervals, (len(others)-near)/farPeersPerBeat)
 	paces := make(map[shard.InstanceID]mesh.Pace, len(others))
 	for id, ins := range others {
-		pace := farPace
+		pace := farIntervals
 		if ins.Domain == own {
-			pace = nearPace
+			pace = nearIntervals
 		}
 		switch {
-		case dmn.openOrdersWith[id], watched[id], vacant && ins.Domain == own:
+		case dmn.openOrdersWith[id], watched[id], leaderless && ins.Domain == own:
 			pace = 1
 		case !dmn.elector.LeadsAny() && len(ins.Leads) == 0:
 			pace = max(pace, idleIntervals)
--- a/internal/process/daemon/random_deployments_test.go
+++ b/internal/process/daemon/random_deployments_test.go
@@ -76,9 +76,9 @@
 // runDeployment sends the jobs of a deployment for 6 s, in which one instance loses power and starts again, and checks their outcomes.
 func runDeployment(sys *system, rnd *rand.Rand, dpl deployment) {
 	const (
-		lasts = 6 * time.Second
-		lost  = 2 * time.Second
-		back  = 3 * time.Second
+		lasts       = 6 * time.Second
+		lost        = 2 * time.Second
+		returnAfter = 3 * time.Second
 	)
 	victim := sys.instanceNames()[rnd.IntN(len(sys.instanceNames()))]
 	var all []*sentJob
@@ -89,7 +89,7 @@
 		case !down && time.Since(began) > lost:
 			sys.powerOff(victim)
 			down = true
-		case !up && time.Since(began) > back:
+		case !up && time.Since(began) > returnAfter:
 			sys.startInstance(victim, sys.instances[victim].domain)
 			up = true
 		}
--- a/internal/process/daemon/reach.go
+++ b/internal/process/daemon/reach.go
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithTimeout(dmn.ctx, succession.ProbeTimeout)
 	defer cancel()
 	asked := dmn.now()
-	_, vdt, err := dmn.prm.Servers.Hold(ctx, platform.Server{ID: ent.ID, Address: ent.Address}, probeToken, 0, 0, 0)
+	_, clr, err := dmn.prm.Servers.Hold(ctx, platform.Server{ID: ent.ID, Address: ent.Address}, probeToken, 0, 0, 0)
 	now := dmn.beginEvent()
 	defer dmn.endEvent(now)
 	rch := dmn.reachability[name]
@@ -46,13 +46,13 @@
 		return nil
 	}
 	lin := dmn.log.Info().Str("shard", string(name)).Str("server", string(ent.ID))
-	if vdt == shard.Unknown {
+	if clr == shard.Unknown {
 		rch.HandleProbeFailure(now)
 		lin.Err(err).Msg("shard of another failure domain has no leader and is out of reach")
 		return nil
 	}
 	if rch.HandleProbeAnswer(now, asked) {
-		lin.Stringer("verdict", vdt).Msg("shard of another failure domain has no leader and is in reach")
+		lin.Stringer("verdict", clr).Msg("shard of another failure domain has no leader and is in reach")
 		// Calls the domain's unheard instances at once: if one leads the shard, it is heard before the shard is taken over. NudgeIf always calls
 		// the instances that aren't heard; no other needs a call.
 		dmn.mesh.NudgeIf(func(shard.InstanceID) bool { return false })
--- a/internal/process/daemon/reach_test.go
+++ b/internal/process/daemon/reach_test.go
@@ -13,12 +13,12 @@
 // TestCutOffDomainKeepsItsLeader guards against an instance of another failure domain that takes over the shard of a domain that is cut off,
 // because its servers have answered at an earlier time, when the shard had no leader.
 func TestCutOffDomainKeepsItsLeader(t *testing.T) {
-	for back := 500 * time.Millisecond; back <= 2500*time.Millisecond; back += 50 * time.Millisecond {
-		t.Run(fmt.Sprint("its instance is back after ", back), func(t *testing.T) {
+	for returnAfter := 500 * time.Millisecond; returnAfter <= 2500*time.Millisecond; returnAfter += 50 * time.Millisecond {
+		t.Run(fmt.Sprint("its instance is back after ", returnAfter), func(t *testing.T) {
 			inTestSystem(t, 3, 1, 3, func(sys *system) {
 				chk := is.NewRelaxed(t)
 				sys.powerOff("entry-2-1")
-				time.Sleep(back)
+				time.Sleep(returnAfter)
 				sys.startInstance("entry-2-1", "domain-2")
 				time.Sleep(5 * time.Second)
 				chk.Equal(sys.leader("domain-2"), "entry-2-1")
@@ -43,8 +43,8 @@
 	return num
 }
 
-// TestForeignLeaderThatNoServerConfirms guards against tasks that are stopped at the end of a cut: an instance of another failure domain has taken the shard
-// over, and its newer fencing token wins though no server has received it.
+// TestForeignLeaderThatNoServerConfirms guards against tasks that are stopped at the end of a cut: an instance of another
+// failure domain has taken the shard over, and its newer fencing token wins though no server has received it.
 func TestForeignLeaderThatNoServerConfirms(t *testing.T) {
 	for end := 200 * time.Millisecond; end <= 1200*time.Millisecond; end += 100 * time.Millisecond {
 		t.Run(fmt.Sprint("the cut ends after ", end), func(t *testing.T) {
--- a/internal/process/succession/explore_action_test.go
+++ b/internal/process/succession/explore_action_test.go
@@ -101,10 +101,10 @@
 			nod.sim.note("%s stops %s %d at %s", nod.id, act.Run.Task, act.Run.Number, act.Server.ID)
 			nod.call(act.Server.ID, timeout, func(srv *fakeServer, reply func(shard.RenewResult, shard.CallResult)) {
 				reply(shard.RenewResult{}, srv.stop(act))
-			}, func(_ shard.RenewResult, vdt shard.CallResult) {
+			}, func(_ shard.RenewResult, clr shard.CallResult) {
 				nod.handle(func(now time.Time) {
 					if ldr := nod.leaderWithToken(name, act.Token); ldr != nil {
-						nod.runLeaderActions(name, ldr.HandleStopResult(now, act.Server.ID, act.Run, vdt))
+						nod.runLeaderActions(name, ldr.HandleStopResult(now, act.Server.ID, act.Run, clr))
 					}
 				})
 			})
@@ -121,13 +121,13 @@
 	nod.sim.note("%s starts %s %d at %s with %d", nod.id, act.Run.Task, act.Run.Number, act.Server.ID, act.Token)
 	sent := nod.sim.now
 	nod.call(act.Server.ID, timeout, func(srv *fakeServer, reply func(shard.RenewResult, shard.CallResult)) {
-		vdt := srv.start(act, nod.sim.runTime(act.Run.Task))
-		reply(shard.RenewResult{Clock: srv.clock()}, vdt)
-	}, func(lok shard.RenewResult, vdt shard.CallResult) {
+		clr := srv.start(act, nod.sim.runTime(act.Run.Task))
+		reply(shard.RenewResult{Clock: srv.clock()}, clr)
+	}, func(res shard.RenewResult, clr shard.CallResult) {
 		nod.handle(func(now time.Time) {
-			nod.uplink.HandleStartResult(act.Payload, now.Sub(sent), vdt)
+			nod.uplink.HandleStartResult(act.Payload, now.Sub(sent), clr)
 			if ldr := nod.leaderWithToken(name, act.Token); ldr != nil {
-				nod.runLeaderActions(name, ldr.HandleStartResult(now, act.Server.ID, act.Run, vdt, lok.Clock))
+				nod.runLeaderActions(name, ldr.HandleStartResult(now, act.Server.ID, act.Run, clr, res.Clock))
 			}
 		})
 	})
@@ -137,10 +137,10 @@
 func (nod *node) renew(name shard.Name, act shard.Renew, timeout time.Duration) {
 	sent := nod.sim.now
 	nod.call(act.Server.ID, act.WaitForEnd+timeout, func(srv *fakeServer, reply func(shard.RenewResult, shard.CallResult)) { srv.handleRenew(act, reply) },
-		func(lok shard.RenewResult, vdt shard.CallResult) {
+		func(res shard.RenewResult, clr shard.CallResult) {
 			nod.handle(func(now time.Time) {
 				if ldr := nod.leaderWithToken(name, act.Token); ldr != nil {
-					nod.runLeaderActions(name, ldr.HandleRenewResult(now, sent, act, lok, vdt))
+					nod.runLeaderActions(name, ldr.HandleRenewResult(now, sent, act, res, clr))
 				}
 			})
 		})
@@ -148,17 +148,17 @@
 
 // call calls a backend server. The call or its answer may be lost on the link, or the call be carried out late and its answer lost.
 func (nod *node) call(to shard.ServerID, timeout time.Duration, carryOut func(srv *fakeServer, reply func(shard.RenewResult, shard.CallResult)),
-	answered func(lok shard.RenewResult, vdt shard.CallResult),
+	answered func(res shard.RenewResult, clr shard.CallResult),
 ) {
 	sim := nod.sim
 	sim.calls++
 	src := fmt.Sprint("call ", sim.calls)
 	done := false
-	finish := func(lok shard.RenewResult, vdt shard.CallResult) {
+	finish := func(res shard.RenewResult, clr shard.CallResult) {
 		nod.deliver(src, func() {
 			if !done {
 				done = true
-				answered(lok, vdt)
+				answered(res, clr)
 			}
 		})
 	}
@@ -173,9 +173,9 @@
 		return
 	}
 	sim.after(sim.delay(), func() {
-		carryOut(srv, func(lok shard.RenewResult, vdt shard.CallResult) {
+		carryOut(srv, func(res shard.RenewResult, clr shard.CallResult) {
 			if sim.up(string(to), nod.name) {
-				sim.after(sim.delay(), func() { finish(lok, vdt) })
+				sim.after(sim.delay(), func() { finish(res, clr) })
 			}
 		})
 	})
--- a/internal/process/succession/explore_node_test.go
+++ b/internal/process/succession/explore_node_test.go
@@ -324,9 +324,9 @@
 	ent := ents[nod.sim.rnd.IntN(len(ents))]
 	act := shard.Renew{Server: ent, Token: 1}
 	nod.call(ent.ID, ProbeTimeout, func(srv *fakeServer, reply func(shard.RenewResult, shard.CallResult)) { srv.handleRenew(act, reply) },
-		func(_ shard.RenewResult, vdt shard.CallResult) {
+		func(_ shard.RenewResult, clr shard.CallResult) {
 			nod.handle(func(at time.Time) {
-				if vdt == shard.Unknown {
+				if clr == shard.Unknown {
 					rch.HandleProbeFailure(at)
 				} else if rch.HandleProbeAnswer(at, now) {
 					nod.signalAll()
--- a/internal/process/succession/explore_server_test.go
+++ b/internal/process/succession/explore_server_test.go
@@ -126,13 +126,13 @@
 
 // renewResult returns the runs and the ends that the server lists.
 func (srv *fakeServer) renewResult() shard.RenewResult {
-	lok := shard.RenewResult{Clock: srv.clock(), Ended: slices.Clone(srv.ended)}
+	res := shard.RenewResult{Clock: srv.clock(), Ended: slices.Clone(srv.ended)}
 	for _, task := range sortedKeys(srv.running) {
 		rn := srv.running[task]
 		pct := int(min(99, srv.sim.now.Sub(rn.began)*100/max(rn.runTime, 1)))
-		lok.Running = append(lok.Running, shard.Progress{Run: rn.id, Percent: pct})
+		res.Running = append(res.Running, shard.Progress{Run: rn.id, Percent: pct})
 	}
-	return lok
+	return res
 }
 
 // extendLease extends the lease of all runs, to at most a second from now by the server's clock; it never shortens the lease.
--- a/internal/version/serverlist/follower.go
+++ b/internal/version/serverlist/follower.go
@@ -125,15 +125,15 @@
 
 // ReadDue reports whether the instance is to read the list itself: as the first reader, as it knows nothing of the list, or as no
 // digest came for DigestTimeout. rank is the own place, 0 for the first, in the order of readers.
-func (fol *Follower) ReadDue(now time.Time, before int) bool {
-	return before == 0 || fol.next == unknown || now.Sub(fol.lastDigestAt) > fol.cfg.DigestTimeout
+func (fol *Follower) ReadDue(now time.Time, rank int) bool {
+	return rank == 0 || fol.next == unknown || now.Sub(fol.lastDigestAt) > fol.cfg.DigestTimeout
 }
 
 // PendingDigests returns the digests that the instance is to write now: none unless it is the first reader or its turn to replace a
 // silent one, and without changes at most one each IdleInterval. rank is the own place, 0 for the first, in the order of readers.
-func (fol *Follower) PendingDigests(now time.Time, before int) []Digest {
-	late := now.Sub(fol.lastDigestAt) - fol.cfg.DigestTimeout - time.Duration(before)*fol.cfg.SubstituteDelay
-	if before > 0 && (before > maxSubstitutes || late <= 0) || fol.digestedTo == unknown || fol.digestedTo == fol.next {
+func (fol *Follower) PendingDigests(now time.Time, rank int) []Digest {
+	late := now.Sub(fol.lastDigestAt) - fol.cfg.DigestTimeout - time.Duration(rank)*fol.cfg.SubstituteDelay
+	if rank > 0 && (rank > maxSubstitutes || late <= 0) || fol.digestedTo == unknown || fol.digestedTo == fol.next {
 		return nil
 	}
 	if len(fol.changes) == 0 && now.Sub(fol.publishedAt) < fol.cfg.IdleInterval {
