--- a/internal/process/daemon/one_way_test.go
+++ b/internal/process/daemon/one_way_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// cutOneWay cuts the network from the owner to the leader, or in the other direction if reverse is set, for 2 s from a moment after the job was sent
-// on. Without an answer the caller sends its job again, to a third instance.
+// cutOneWay cuts the network from the owner to the leader, or in the other direction if reverse is set, for 2 s from a moment after the job was
+// sent on. Without an answer the caller sends its job again, to a third instance.
 func cutOneWay(t *testing.T, sys *system, moment time.Duration, reverse bool, stall func(led, own *process) *process) {
 	t.Helper()
 	led, own := sys.instances["entry-1-1"], sys.instances["entry-2-1"]
--- a/internal/version/serverlist/follower_test.go
+++ b/internal/version/serverlist/follower_test.go
@@ -43,16 +43,16 @@
 
 func TestReaderSelection(t *testing.T) {
 	cases := map[string]struct {
-		before  int
+		rank    int
 		quiet   time.Duration
 		reads   bool
 		digests int
 	}{
-		"the first one reads and publishes":                 {before: 0, reads: true, digests: 1},
-		"another one relies on the first":                   {before: 3},
-		"no digests for 1.7 s, the second one takes over":   {before: 1, quiet: 1700 * time.Millisecond, reads: true, digests: 1},
-		"no digests for 1.7 s, the fourth one only reads":   {before: 3, quiet: 1700 * time.Millisecond, reads: true},
-		"beyond the substitutes, reads but never publishes": {before: 90, quiet: time.Hour, reads: true},
+		"the first one reads and publishes":                 {rank: 0, reads: true, digests: 1},
+		"another one relies on the first":                   {rank: 3},
+		"no digests for 1.7 s, the second one takes over":   {rank: 1, quiet: 1700 * time.Millisecond, reads: true, digests: 1},
+		"no digests for 1.7 s, the fourth one only reads":   {rank: 3, quiet: 1700 * time.Millisecond, reads: true},
+		"beyond the substitutes, reads but never publishes": {rank: 90, quiet: time.Hour, reads: true},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -63,8 +63,8 @@
 			fol.HandleRead(12, 14)
 			fol.HandleChange(Change{Offset: 13, Key: "s"})
 			now := began.Add(cse.quiet)
-			chk.Equal(fol.ReadDue(now, cse.before), cse.reads)
-			chk.Equal(len(fol.PendingDigests(now, cse.before)), cse.digests)
+			chk.Equal(fol.ReadDue(now, cse.rank), cse.reads)
+			chk.Equal(len(fol.PendingDigests(now, cse.rank)), cse.digests)
 		})
 	}
 }
