--- a/internal/process/daemon/random_test.go
+++ b/internal/process/daemon/random_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// TestRandomTroubles guards against tasks that run twice at once, overfull servers, refused jobs that have started, and jobs that aren't served
+// TestRandomFaults guards against tasks that run twice at once, overfull servers, refused jobs that have started, and jobs that aren't served
 // after the last fault, when the faults of injectRandomFault overlap in random order.
-func TestRandomTroubles(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	seeds := []uint64{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}
 	// An instance starts again while the store is down, and others must not send reports for it to its former address until its callers'
 	// deadlines; in 25 of 150 runs of this seed they did.
--- a/internal/process/daemon/stall_test.go
+++ b/internal/process/daemon/stall_test.go
@@ -61,7 +61,7 @@
 	})
 }
 
-// TestPausesAndFaults guards against tasks that run twice at once when pauses, the faults of TestRandomTroubles, and callers that send their
+// TestPausesAndFaults guards against tasks that run twice at once when pauses, the faults of TestRandomFaults, and callers that send their
 // jobs again to another instance 1.3 s after a call without an answer come together.
 func TestPausesAndFaults(t *testing.T) {
 	// In seed 211 a leader that was paused for 2 s sees free capacity before it learns that the owners of its queued tasks are lost. It must not
