--- a/internal/connection/peer/calls.go
+++ b/internal/connection/peer/calls.go
@@ -23,18 +23,18 @@
 // Borrow asks a peer for idle slots; bor.Peer is who is asked, the grant's Peer who grants.
 func (cli *Client) Borrow(ctx context.Context, tgt Target, bor dispatch.Borrow) (dispatch.Grant, error) {
 	var rep wireLoans
-	req := wireBorrow{Slots: bor.Slots, Free: bor.Free, RunMillis: bor.RunTime.Milliseconds(), Once: bor.Once}
+	req := wireBorrow{Slots: bor.Slots, Free: bor.Free, RunMillis: bor.RunTime.Milliseconds(), Once: bor.NoOffers}
 	if err := cli.call(ctx, tgt, methodBorrow, req, &rep); err != nil {
 		return dispatch.Grant{}, err
 	}
 	return dispatch.Grant{
-		Peer: tgt.ID, Loans: toLoans(rep.Loans), For: millis(rep.ForMillis), Free: rep.Free,
+		Peer: tgt.ID, Loans: toLoans(rep.Loans), Duration: millis(rep.ForMillis), Free: rep.Free,
 	}, nil
 }
 
 // Grant lends slots that a peer asked for earlier.
 func (cli *Client) Grant(ctx context.Context, tgt Target, grt dispatch.Grant) error {
-	req := wireLoans{Loans: fromLoans(grt.Loans), ForMillis: grt.For.Milliseconds(), Free: grt.Free}
+	req := wireLoans{Loans: fromLoans(grt.Loans), ForMillis: grt.Duration.Milliseconds(), Free: grt.Free}
 	return cli.notify(ctx, tgt, methodGrant, req)
 }
 
--- a/internal/connection/peer/fake_test.go
+++ b/internal/connection/peer/fake_test.go
@@ -49,7 +49,7 @@
 func (rec *recorder) Borrow(ctx context.Context, bor dispatch.Borrow) (dispatch.Grant, error) {
 	rec.keep(ctx, bor)
 	lns := []dispatch.Loan{{Server: "s1", Slots: bor.Slots}}
-	return dispatch.Grant{Loans: lns, For: time.Second, Free: 4}, nil
+	return dispatch.Grant{Loans: lns, Duration: time.Second, Free: 4}, nil
 }
 
 func (rec *recorder) Grant(ctx context.Context, grt dispatch.Grant) error {
--- a/internal/connection/peer/methods.go
+++ b/internal/connection/peer/methods.go
@@ -79,10 +79,10 @@
 		return nil, err
 	}
 	bor := dispatch.Borrow{
-		Peer: ses.from.ID, Slots: wir.Slots, Free: wir.Free, RunTime: millis(wir.RunMillis), Once: wir.Once,
+		Peer: ses.from.ID, Slots: wir.Slots, Free: wir.Free, RunTime: millis(wir.RunMillis), NoOffers: wir.Once,
 	}
 	grt, err := ses.srv.hdl.Borrow(ctx, bor)
-	return wireLoans{Loans: fromLoans(grt.Loans), ForMillis: grt.For.Milliseconds(), Free: grt.Free}, err
+	return wireLoans{Loans: fromLoans(grt.Loans), ForMillis: grt.Duration.Milliseconds(), Free: grt.Free}, err
 }
 
 func grantSlots(ctx context.Context, ses *session, params json.RawMessage) (any, error) {
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, err
 	}
-	grt := dispatch.Grant{Peer: ses.from.ID, Loans: toLoans(wir.Loans), For: millis(wir.ForMillis), Free: wir.Free}
+	grt := dispatch.Grant{Peer: ses.from.ID, Loans: toLoans(wir.Loans), Duration: millis(wir.ForMillis), Free: wir.Free}
 	return wireEmpty{}, ses.srv.hdl.Grant(ctx, grt)
 }
 
--- a/internal/connection/peer/peer_test.go
+++ b/internal/connection/peer/peer_test.go
@@ -87,16 +87,16 @@
 		},
 		"borrow": {
 			func(ctx context.Context, cli *Client) (any, error) {
-				return cli.Borrow(ctx, toB, dispatch.Borrow{Peer: "b", Slots: 3, Free: 1, RunTime: time.Second, Once: true})
+				return cli.Borrow(ctx, toB, dispatch.Borrow{Peer: "b", Slots: 3, Free: 1, RunTime: time.Second, NoOffers: true})
 			},
-			dispatch.Borrow{Peer: "a", Slots: 3, Free: 1, RunTime: time.Second, Once: true},
-			dispatch.Grant{Peer: "b", Loans: []dispatch.Loan{{Server: "s1", Slots: 3}}, For: time.Second, Free: 4},
+			dispatch.Borrow{Peer: "a", Slots: 3, Free: 1, RunTime: time.Second, NoOffers: true},
+			dispatch.Grant{Peer: "b", Loans: []dispatch.Loan{{Server: "s1", Slots: 3}}, Duration: time.Second, Free: 4},
 		},
 		"grant": {
 			func(ctx context.Context, cli *Client) (any, error) {
-				return nil, cli.Grant(ctx, toB, dispatch.Grant{Loans: []dispatch.Loan{{Server: "s1", Slots: 3}}, For: time.Second, Free: 2})
+				return nil, cli.Grant(ctx, toB, dispatch.Grant{Loans: []dispatch.Loan{{Server: "s1", Slots: 3}}, Duration: time.Second, Free: 2})
 			},
-			dispatch.Grant{Peer: "a", Loans: []dispatch.Loan{{Server: "s1", Slots: 3}}, For: time.Second, Free: 2},
+			dispatch.Grant{Peer: "a", Loans: []dispatch.Loan{{Server: "s1", Slots: 3}}, Duration: time.Second, Free: 2},
 			nil,
 		},
 		"return": {
--- a/internal/process/entry/answer_peers.go
+++ b/internal/process/entry/answer_peers.go
@@ -25,19 +25,19 @@
 // Borrow implements peer.Handler.
 func (hdl peerHandler) Borrow(_ context.Context, bor dispatch.Borrow) (dispatch.Grant, error) {
 	var grt dispatch.Grant
-	hdl.ins.decide(func(now time.Time) { grt = hdl.ins.dsp.BorrowAsked(now, bor) })
+	hdl.ins.decide(func(now time.Time) { grt = hdl.ins.dsp.HandleBorrow(now, bor) })
 	return grt, nil
 }
 
 // Grant implements peer.Handler.
 func (hdl peerHandler) Grant(_ context.Context, grt dispatch.Grant) error {
-	hdl.ins.decide(func(now time.Time) { hdl.ins.dsp.Granted(now, grt) })
+	hdl.ins.decide(func(now time.Time) { hdl.ins.dsp.HandleGrant(now, grt) })
 	return nil
 }
 
 // Return implements peer.Handler.
 func (hdl peerHandler) Return(_ context.Context, ret dispatch.Return) error {
-	hdl.ins.decide(func(now time.Time) { hdl.ins.dsp.Returned(now, ret) })
+	hdl.ins.decide(func(now time.Time) { hdl.ins.dsp.HandleReturn(now, ret) })
 	return nil
 }
 
--- a/internal/process/entry/capacity_test.go
+++ b/internal/process/entry/capacity_test.go
@@ -98,7 +98,7 @@
 	for _, srv := range knw.cur.Servers() {
 		servers = append(servers, srv.Server)
 	}
-	knw.dsp.SetPool(now, servers, knw.cur.Homes(), pers)
+	knw.dsp.SetMembership(now, servers, knw.cur.Homes(), pers)
 	knw.dsp.Actions().Reset()
 }
 
--- a/internal/process/entry/loop.go
+++ b/internal/process/entry/loop.go
@@ -28,7 +28,7 @@
 	for idx := range act.Starts {
 		ins.start(now, &act.Starts[idx])
 	}
-	for _, tsk := range act.Asks {
+	for _, tsk := range act.Queries {
 		ins.warn("ask", ins.servers.Ask(tsk.Server, tsk.Task))
 	}
 	for _, tsk := range act.Revokes {
@@ -37,7 +37,7 @@
 	for _, tsk := range act.Stops {
 		ins.warn("stop", ins.servers.Stop(tsk.Server, tsk.Task))
 	}
-	for _, srv := range act.Renews {
+	for _, srv := range act.Renewals {
 		ins.warn("renew", ins.servers.Renew(srv, ins.cfg.Dispatch.Lease))
 	}
 	for _, srv := range act.Reconnects {
@@ -62,7 +62,7 @@
 // start enqueues a start. If the outbox is full nothing was sent, and dispatch is told so at its
 // next wake: telling it here would change the actions that are being carried out.
 func (ins *Instance) start(now time.Time, stt *dispatch.Start) {
-	if stt.Once && !ins.claimHolds(now, stt.Task.Submission()) {
+	if stt.AtMostOnce && !ins.claimHolds(now, stt.Task.Submission()) {
 		ins.lapsed = append(ins.lapsed, stt.Task.Submission())
 	} else if err := ins.servers.Start(*stt); err == nil {
 		return
@@ -97,7 +97,7 @@
 
 // arm wakes the timer if something is due before what it waits for.
 func (ins *Instance) arm() {
-	next := earliest(ins.dsp.NextWake(), ins.limits.NextWake())
+	next := earliest(ins.dsp.NextTick(), ins.limits.NextWake())
 	if len(ins.unsent) > 0 {
 		next = ins.now()
 	}
@@ -132,7 +132,7 @@
 	if len(ins.unsent) > 0 {
 		tasks := ins.unsent
 		ins.unsent = nil
-		ins.dsp.SendFailed(now, tasks)
+		ins.dsp.HandleSendFailure(now, tasks)
 	}
 	for _, sub := range ins.lapsed {
 		if rec := ins.table.bySubmission(sub); rec != nil && rec.running() != nil {
@@ -141,7 +141,7 @@
 	}
 	ins.lapsed = nil
 	ins.limits.Wake(now)
-	ins.dsp.Wake(now)
+	ins.dsp.HandleTick(now)
 }
 
 // earliest returns the earlier of two times, of which zero is none.
@@ -167,10 +167,10 @@
 	ins.decide(func(now time.Time) {
 		switch evt.Kind {
 		case backend.Up:
-			ins.dsp.SessionUp(now, evt.Server, evt.Report)
+			ins.dsp.HandleSessionUp(now, evt.Server, evt.Report)
 		case backend.Reported:
 			ins.countOccupancy(&evt.Report)
-			ins.dsp.Reported(now, evt.Report)
+			ins.dsp.HandleReport(now, evt.Report)
 		case backend.Down:
 			ins.sessionDown(now, evt)
 		}
@@ -188,9 +188,9 @@
 // end of a session that a newer one replaced says nothing of the backend server.
 func (ins *Instance) sessionDown(now time.Time, evt backend.Event) {
 	if len(evt.Unsent) > 0 {
-		ins.dsp.SendFailed(now, evt.Unsent)
+		ins.dsp.HandleSendFailure(now, evt.Unsent)
 	}
 	if !evt.Superseded {
-		ins.dsp.SessionDown(now, evt.Server, evt.Refused)
+		ins.dsp.HandleSessionDown(now, evt.Server, evt.Refused)
 	}
 }
--- a/internal/process/entry/observe.go
+++ b/internal/process/entry/observe.go
@@ -40,11 +40,11 @@
 		metrics.Refusal:    2 * sta.Refusals,
 		metrics.LostStart:  sta.Lost,
 		metrics.LateAnswer: sta.LateAnswers,
-		metrics.Ask:        sta.Asks,
+		metrics.Ask:        sta.Queries,
 		metrics.Status:     sta.Statuses,
 		metrics.Revoke:     sta.Revokes,
 		metrics.Stop:       sta.Stops,
-		metrics.Renewal:    sta.Renews,
+		metrics.Renewal:    sta.Renewals,
 		metrics.Session:    sta.Reconnects,
 	}
 }
--- a/internal/process/entry/peers.go
+++ b/internal/process/entry/peers.go
@@ -19,10 +19,10 @@
 		grt, err := ins.callBorrow(bor)
 		ins.decide(func(now time.Time) {
 			if err != nil {
-				ins.dsp.PeerFailed(now, bor.Peer)
+				ins.dsp.HandlePeerFailure(now, bor.Peer)
 				return
 			}
-			ins.dsp.Granted(now, grt)
+			ins.dsp.HandleGrant(now, grt)
 		})
 		return nil
 	})
--- a/internal/process/entry/stop.go
+++ b/internal/process/entry/stop.go
@@ -18,7 +18,7 @@
 	ins.view.leave()
 	sleep(ctx, ins.cfg.Notice)
 	ins.stage.Store(refusing)
-	ins.decide(ins.dsp.Leave)
+	ins.decide(ins.dsp.Drain)
 }
 
 // awaitIdle returns once every job has its answer, or when the stop takes longer than it may.
--- a/internal/process/entry/view.go
+++ b/internal/process/entry/view.go
@@ -115,7 +115,7 @@
 	servers := vie.connect(cur)
 	ins.budget.SetLive(len(cur.Entries()))
 	ins.decide(func(now time.Time) {
-		ins.dsp.SetPool(now, servers, cur.Homes(), pers)
+		ins.dsp.SetMembership(now, servers, cur.Homes(), pers)
 		if cur.Ready() {
 			ins.limits.SetPeers(now, limitPeers(cur.UnitPeers()), limitPeers(cur.Gone()))
 		}
--- a/internal/request/dispatch/admit.go
+++ b/internal/request/dispatch/admit.go
@@ -115,7 +115,7 @@
 	spc := jst.spec()
 	limit := int(spc.Class.Limits.Queue)
 	if limit == 0 {
-		limit = dsp.cfg.ClassQueue
+		limit = dsp.cfg.DefaultQueueLimit
 	}
 	wait := dsp.expectedWait(jst)
 	if jst.cls.waiting+len(jst.pending) > limit {
@@ -127,7 +127,7 @@
 	}
 	// Shorter jobs that arrive later overtake a long one, so that it waits longer than for what is
 	// there now.
-	if hopeless := time.Duration(dsp.cfg.AdmitMargin * float64(wait)); hopeless > room {
+	if hopeless := time.Duration(dsp.cfg.AdmitWaitFactor * float64(wait)); hopeless > room {
 		return verdict.New(verdict.NotRun, "overload").WithRetryAfter(bounded(hopeless - room))
 	}
 	return nil
--- a/internal/request/dispatch/api.go
+++ b/internal/request/dispatch/api.go
@@ -118,8 +118,8 @@
 	NotAfter time.Time
 	Slots    uint32
 	Version  uint64
-	// Once marks work that must run at most once: whoever sends it looks at its claim first.
-	Once bool
+	// AtMostOnce marks work that must run at most once: whoever sends it looks at its claim first.
+	AtMostOnce bool
 }
 
 // ServerTask names a task at a backend server.
@@ -144,16 +144,16 @@
 	// RunTime of the tasks that wait, so that the peer knows how long after the loan its slots
 	// are still in use; 0 if it is not known.
 	RunTime time.Duration
-	// Once says that slots that come free later need not be offered.
-	Once bool
+	// NoOffers says that slots that come free later need not be offered.
+	NoOffers bool
 }
 
 // Grant answers a Borrow; it may be empty.
 type Grant struct {
 	Peer  PeerID
 	Loans []Loan
-	// For how long the slots may be used for new starts.
-	For time.Duration
+	// Duration how long the slots may be used for new starts.
+	Duration time.Duration
 	// Free slots that the granting peer still has.
 	Free uint32
 }
@@ -179,11 +179,11 @@
 // Actions is what the caller of a Dispatcher has to do after an event, in this order.
 type Actions struct {
 	Starts  []Start
-	Asks    []ServerTask
+	Queries    []ServerTask
 	Revokes []ServerTask
 	Stops   []ServerTask
-	// Renews lists backend servers that are to be told to move the end of the leases.
-	Renews []ServerID
+	// Renewals lists backend servers that are to be told to move the end of the leases.
+	Renewals []ServerID
 	// Reconnects lists backend servers to which a fresh connection is to be opened.
 	Reconnects []ServerID
 	Borrows    []Borrow
@@ -196,10 +196,10 @@
 // Reset empties the actions and keeps their memory.
 func (act *Actions) Reset() {
 	act.Starts = act.Starts[:0]
-	act.Asks = act.Asks[:0]
+	act.Queries = act.Queries[:0]
 	act.Revokes = act.Revokes[:0]
 	act.Stops = act.Stops[:0]
-	act.Renews = act.Renews[:0]
+	act.Renewals = act.Renewals[:0]
 	act.Reconnects = act.Reconnects[:0]
 	act.Borrows = act.Borrows[:0]
 	act.Offers = act.Offers[:0]
--- a/internal/request/dispatch/bench_test.go
+++ b/internal/request/dispatch/bench_test.go
@@ -44,9 +44,9 @@
 		}
 		homes = append(homes, Home{Server: sid, Peer: peer})
 	}
-	dsp.SetPool(now, list, homes, nil)
+	dsp.SetMembership(now, list, homes, nil)
 	for _, srv := range list {
-		dsp.SessionUp(now, srv.ID, Report{Server: srv.ID, Incarnation: "one", Slots: 8, FreeSlots: 8})
+		dsp.HandleSessionUp(now, srv.ID, Report{Server: srv.ID, Incarnation: "one", Slots: 8, FreeSlots: 8})
 	}
 	for team := range teams {
 		name := fmt.Sprint("team-", team)
@@ -89,7 +89,7 @@
 					inFlight[(turn-1)%len(inFlight)] = dsp.find(dsp.servers[sts[0].Server], sts[0].Task)
 				}
 				dsp.act.Reset()
-				dsp.NextWake()
+				dsp.NextTick()
 			}
 		})
 	}
@@ -132,7 +132,7 @@
 			return
 		}
 		res := Result{Task: tsk.ID(), Outcome: OutcomeOK, RunTime: time.Millisecond}
-		free := srv.acct.Slots() - srv.acct.InFlight()
-		dsp.Reported(now, Report{Server: srv.id, Incarnation: "one", Slots: 8, FreeSlots: free, Results: []Result{res}})
+		free := srv.acct.Slots() - srv.acct.InUse()
+		dsp.HandleReport(now, Report{Server: srv.id, Incarnation: "one", Slots: 8, FreeSlots: free, Results: []Result{res}})
 	}
 }
--- a/internal/request/dispatch/borrow.go
+++ b/internal/request/dispatch/borrow.go
@@ -30,14 +30,14 @@
 		return
 	}
 	want := dsp.shortage(now)
-	for num := 0; want > 0 && num < dsp.cfg.Loan.Parallel; num++ {
+	for num := 0; want > 0 && num < dsp.cfg.Loan.MaxParallelRequests; num++ {
 		per := dsp.lender(now)
 		if per == nil {
 			break
 		}
 		// The rest goes to the next peer only if this one can't have it all.
 		part := min(want, max(dsp.believedFree(now, per), 1))
-		if num+1 == dsp.cfg.Loan.Parallel || dsp.lastLender(now, per) {
+		if num+1 == dsp.cfg.Loan.MaxParallelRequests || dsp.lastLender(now, per) {
 			part = want
 		}
 		dsp.askLoan(now, per, part)
@@ -46,11 +46,11 @@
 }
 
 // style returns what the job's catalogue entry would rather spend.
-func (dsp *Dispatcher) style(jst *jobState) *LoanStyle {
+func (dsp *Dispatcher) style(jst *jobState) *LoanPolicy {
 	if jst.spec().Class.Prefer == job.PreferMessages {
-		return &dsp.cfg.Loan.Messages
+		return &dsp.cfg.Loan.PreferMessages
 	}
-	return &dsp.cfg.Loan.Response
+	return &dsp.cfg.Loan.PreferResponse
 }
 
 // shortage returns how many slots more are worth borrowing now, or 0; it sets a timer if waiting
@@ -60,7 +60,7 @@
 		return 0
 	}
 	jst := dsp.firstWaiting()
-	worth := time.Duration(dsp.style(jst).Wait * float64(dsp.estimate(jst)))
+	worth := time.Duration(dsp.style(jst).WaitShare * float64(dsp.estimate(jst)))
 	soon := dsp.drain * worth.Seconds()
 	want := float64(dsp.queued) - soon
 	if want < 1 {
@@ -148,7 +148,7 @@
 	if !per.freeAt.IsZero() && now.Sub(per.freeAt) < freeTrust {
 		return per.free
 	}
-	if dsp.stats.Granted == 0 {
+	if dsp.stats.GrantsReceived == 0 {
 		return uint32(guessShare * float64(dsp.pool.HomeSlots()))
 	}
 	return uint32(dsp.peerFree)
@@ -165,7 +165,7 @@
 		Slots:   num,
 		Free:    dsp.spare(),
 		RunTime: dsp.estimate(jst),
-		Once:    jst.spec().Class.Prefer == job.PreferMessages,
+		NoOffers:    jst.spec().Class.Prefer == job.PreferMessages,
 	})
 	dsp.stats.Borrows++
 	dsp.borrowLater(now.Add(dsp.cfg.Loan.Timeout))
@@ -179,15 +179,15 @@
 	per.misses++
 }
 
-// Granted takes in the answer to a request for slots; an empty one too.
-func (dsp *Dispatcher) Granted(now time.Time, grt Grant) {
+// HandleGrant takes in the answer to a request for slots; an empty one too.
+func (dsp *Dispatcher) HandleGrant(now time.Time, grt Grant) {
 	dsp.enter(now)
-	dsp.stats.Granted++
+	dsp.stats.GrantsReceived++
 	per := dsp.peerOf(grt.Peer)
 	if per != nil {
 		dsp.answered(now, per, &grt)
 	}
-	until := now.Add(grt.For)
+	until := now.Add(grt.Duration)
 	for _, lon := range grt.Loans {
 		srv := dsp.servers[lon.Server]
 		if srv == nil || lon.Slots == 0 {
@@ -225,9 +225,9 @@
 	}
 }
 
-// PeerFailed takes in that a peer does not answer. Its loans run to their ends both ways: the
+// HandlePeerFailure takes in that a peer does not answer. Its loans run to their ends both ways: the
 // slots it borrowed may be in use.
-func (dsp *Dispatcher) PeerFailed(now time.Time, pid PeerID) {
+func (dsp *Dispatcher) HandlePeerFailure(now time.Time, pid PeerID) {
 	dsp.enter(now)
 	if per := dsp.peerOf(pid); per != nil {
 		dsp.refusedLoan(now, per)
@@ -246,7 +246,7 @@
 	if dsp.idleSince.IsZero() {
 		dsp.idleSince = now
 	}
-	due := dsp.idleSince.Add(dsp.cfg.Loan.ReturnAfter)
+	due := dsp.idleSince.Add(dsp.cfg.Loan.ReturnDelay)
 	if unused < dsp.cfg.Loan.ReturnSlots && now.Before(due) && !dsp.leaving {
 		dsp.borrowLater(due)
 		return
@@ -272,12 +272,12 @@
 // giveBack collects the unused slots of one backend server by lender. Slots in use are not given
 // back: their loan runs out at its end.
 func (dsp *Dispatcher) giveBack(now time.Time, srv *server, rets []Return) []Return {
-	unused := srv.acct.Borrowed() - min(srv.acct.Borrowed(), srv.acct.InFlight())
+	unused := srv.acct.Borrowed() - min(srv.acct.Borrowed(), srv.acct.InUse())
 	for _, lon := range srv.acct.Loans() {
 		if unused == 0 {
 			break
 		}
-		if lon.Until.Sub(now) < dsp.cfg.Loan.MinReturn {
+		if lon.Until.Sub(now) < dsp.cfg.Loan.MinReturnTime {
 			continue
 		}
 		cut := dsp.pool.GiveBack(srv.acct, lon.Peer, min(lon.Slots, unused))
--- a/internal/request/dispatch/deadline_test.go
+++ b/internal/request/dispatch/deadline_test.go
@@ -13,14 +13,14 @@
 // At 36,000 task starts a second an entry instance grew by 20 MB a second until the first jobs'
 // not-after times passed, half a minute later: a job whose tasks had to wait has a timer for that
 // time, and the timer held the job with all of its tasks long after its end.
-func TestEndedJobIsNotHeldByItsDeadline(t *testing.T) {
+func TestDeadlineTimerDoesNotRetainEndedJob(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	cfg := DefaultConfig()
 	cfg.Self, cfg.FailureDomain = "self", "domain"
 	dsp := New(cfg, teamQuotas{"team": 10}, rand.New(rand.NewPCG(1, 1)))
-	dsp.SetPool(now, []Server{{ID: "server", FailureDomain: "domain", Slots: 1}}, []Home{{Server: "server", Peer: "self"}}, nil)
-	dsp.SessionUp(now, "server", Report{Server: "server", Incarnation: "one", Slots: 1, FreeSlots: 1})
+	dsp.SetMembership(now, []Server{{ID: "server", FailureDomain: "domain", Slots: 1}}, []Home{{Server: "server", Peer: "self"}}, nil)
+	dsp.HandleSessionUp(now, "server", Report{Server: "server", Incarnation: "one", Slots: 1, FreeSlots: 1})
 	jb := job.New(job.NewID("entry", "one"), job.Spec{
 		Submission: "one", Class: &job.Class{Name: "class", Owner: "partner"}, Team: "team", Admitted: now,
 		NotAfter: now.Add(time.Minute), Tasks: make([]job.TaskSpec, 2),
@@ -31,7 +31,7 @@
 		is.Equal(len(dsp.act.Starts), 1)
 		res := Result{Task: dsp.act.Starts[0].Task, Outcome: OutcomeOK, RunTime: time.Millisecond}
 		dsp.Actions().Reset()
-		dsp.Reported(now, Report{Server: "server", Incarnation: "one", Slots: 1, FreeSlots: 1, Results: []Result{res}})
+		dsp.HandleReport(now, Report{Server: "server", Incarnation: "one", Slots: 1, FreeSlots: 1, Results: []Result{res}})
 	}
 	is.True(jb.Complete())
 	deadlines := 0
@@ -43,5 +43,5 @@
 		}
 	}
 	is.Equal(deadlines, 1) // the job had to wait, so that there is a timer at all
-	dsp.Wake(jb.Spec().NotAfter)
+	dsp.HandleTick(jb.Spec().NotAfter)
 }
--- a/internal/request/dispatch/dispatcher.go
+++ b/internal/request/dispatch/dispatcher.go
@@ -80,7 +80,7 @@
 		servers:  map[ServerID]*server{},
 		detector: fault.New(cfg.Fault),
 		meanRun:  cfg.DefaultRunTime,
-		loanFor:  cfg.Loan.MaxFor,
+		loanFor:  cfg.Loan.MaxDuration,
 	}
 }
 
@@ -95,14 +95,14 @@
 	return &dsp.act
 }
 
-// Wake does what is due.
-func (dsp *Dispatcher) Wake(now time.Time) {
+// HandleTick does what is due.
+func (dsp *Dispatcher) HandleTick(now time.Time) {
 	dsp.enter(now)
 	dsp.advance(now)
 }
 
-// NextWake returns when Wake is to be called, or the zero time if nothing is due.
-func (dsp *Dispatcher) NextWake() time.Time {
+// NextTick returns when Wake is to be called, or the zero time if nothing is due.
+func (dsp *Dispatcher) NextTick() time.Time {
 	var due time.Time
 	if len(dsp.timers) > 0 {
 		due = dsp.timers[0].at
@@ -113,9 +113,9 @@
 	return due
 }
 
-// Leave starts a planned stop: new jobs are refused, jobs in progress go on to their ends, and
+// Drain starts a planned stop: new jobs are refused, jobs in progress go on to their ends, and
 // loans go back.
-func (dsp *Dispatcher) Leave(now time.Time) {
+func (dsp *Dispatcher) Drain(now time.Time) {
 	dsp.enter(now)
 	dsp.leaving = true
 	dsp.advance(now)
@@ -131,7 +131,7 @@
 // that much too late; all sessions are then made anew, which asks for every task before anything
 // is started or renewed.
 func (dsp *Dispatcher) enter(now time.Time) {
-	if due := dsp.NextWake(); !due.IsZero() && now.Sub(due) > dsp.cfg.Lease {
+	if due := dsp.NextTick(); !due.IsZero() && now.Sub(due) > dsp.cfg.Lease {
 		dsp.stats.Pauses++
 		for _, srv := range dsp.listing {
 			if srv.up {
--- a/internal/request/dispatch/judge.go
+++ b/internal/request/dispatch/judge.go
@@ -35,7 +35,7 @@
 		ceiling = 1
 	default:
 	}
-	dsp.pool.SetCeiling(srv.acct, ceiling)
+	dsp.pool.SetMaxInUse(srv.acct, ceiling)
 	dsp.setOpen(srv)
 }
 
--- a/internal/request/dispatch/late.go
+++ b/internal/request/dispatch/late.go
@@ -20,11 +20,11 @@
 		// The next session asks; the timer of the lost one gives up.
 		return
 	}
-	if !flt.askSince.IsZero() && now.Sub(flt.askSince) >= dsp.cfg.GiveUp {
+	if !flt.askSince.IsZero() && now.Sub(flt.askSince) >= dsp.cfg.UnreachableTimeout {
 		dsp.lose(now, flt, "backend-server-silent")
 		return
 	}
-	if !flt.asked.IsZero() && now.Sub(flt.asked) >= dsp.cfg.AskTimeout {
+	if !flt.asked.IsZero() && now.Sub(flt.asked) >= dsp.cfg.QueryTimeout {
 		dsp.endSession(now, srv)
 		return
 	}
@@ -33,7 +33,7 @@
 			dsp.ask(now, flt)
 			return
 		}
-		flt.lateAt = srv.heard.Add(dsp.cfg.Patience)
+		flt.lateAt = srv.heard.Add(dsp.cfg.AnswerTimeout)
 	}
 	dsp.renew(now, flt)
 	dsp.watch(now, flt)
@@ -48,7 +48,7 @@
 		return false
 	}
 	heard := flt.srv.heard
-	return heard.After(flt.task().SentAt()) && now.Sub(heard) < dsp.cfg.Patience
+	return heard.After(flt.task().SentAt()) && now.Sub(heard) < dsp.cfg.AnswerTimeout
 }
 
 // ask asks what became of a task whose answer is late.
@@ -62,8 +62,8 @@
 	if !flt.task().MarkQuerying() {
 		return
 	}
-	dsp.act.Asks = append(dsp.act.Asks, ServerTask{Server: flt.srv.id, Task: flt.task().ID()})
-	dsp.stats.Asks++
+	dsp.act.Queries = append(dsp.act.Queries, ServerTask{Server: flt.srv.id, Task: flt.task().ID()})
+	dsp.stats.Queries++
 	flt.asked = now
 	if flt.askSince.IsZero() {
 		flt.askSince = now
@@ -79,8 +79,8 @@
 	}
 	srv := flt.srv
 	srv.renewed = now
-	dsp.act.Renews = append(dsp.act.Renews, srv.id)
-	dsp.stats.Renews++
+	dsp.act.Renewals = append(dsp.act.Renewals, srv.id)
+	dsp.stats.Renewals++
 }
 
 func (dsp *Dispatcher) renewAt(flt *flight) time.Time {
@@ -96,7 +96,7 @@
 	due := dsp.renewAt(flt)
 	next := flt.lateAt
 	if !flt.asked.IsZero() {
-		next = flt.asked.Add(dsp.cfg.AskTimeout)
+		next = flt.asked.Add(dsp.cfg.QueryTimeout)
 	}
 	if next.Before(due) {
 		due = next
--- a/internal/request/dispatch/lend.go
+++ b/internal/request/dispatch/lend.go
@@ -16,25 +16,25 @@
 	minLoan = 400 * time.Millisecond
 )
 
-// BorrowAsked answers a peer that asks for slots. Only idle slots of own backend servers are lent,
+// HandleBorrow answers a peer that asks for slots. Only idle slots of own backend servers are lent,
 // less a reserve for own arrivals.
-func (dsp *Dispatcher) BorrowAsked(now time.Time, bor Borrow) Grant {
+func (dsp *Dispatcher) HandleBorrow(now time.Time, bor Borrow) Grant {
 	dsp.enter(now)
-	dsp.stats.BorrowsAsked++
+	dsp.stats.BorrowsReceived++
 	grt := Grant{Peer: dsp.cfg.Self}
 	if per := dsp.peerOf(bor.Peer); per != nil {
 		per.free, per.freeAt = bor.Free, now
 		per.runTime = bor.RunTime
-		per.style = &dsp.cfg.Loan.Response
-		if bor.Once {
-			per.style = &dsp.cfg.Loan.Messages
+		per.style = &dsp.cfg.Loan.PreferResponse
+		if bor.NoOffers {
+			per.style = &dsp.cfg.Loan.PreferMessages
 		}
 		dsp.lend(now, per, bor.Slots, &grt)
 		per.owed = bor.Slots - grt.slots()
-		if bor.Once {
+		if bor.NoOffers {
 			per.owed = 0
 		}
-		per.owedUntil = now.Add(per.style.Standing)
+		per.owedUntil = now.Add(per.style.RequestValidity)
 		if per.owed > 0 {
 			dsp.owedUntil = later(dsp.owedUntil, per.owedUntil)
 		}
@@ -53,7 +53,7 @@
 
 func (dsp *Dispatcher) lend(now time.Time, per *peer, want uint32, grt *Grant) {
 	num := min(want, dsp.spare())
-	grt.For = dsp.lengthOf(per, want, num)
+	grt.Duration = dsp.lengthOf(per, want, num)
 	if num > 0 {
 		dsp.lendSlots(now, per, num, grt)
 	}
@@ -61,16 +61,16 @@
 }
 
 func (dsp *Dispatcher) lendSlots(now time.Time, per *peer, num uint32, grt *Grant) {
-	lon := slot.Loan{Peer: string(per.id), Slots: num, Until: now.Add(grt.For + dsp.cfg.Loan.Slack)}
+	lon := slot.Loan{Peer: string(per.id), Slots: num, Until: now.Add(grt.Duration + dsp.cfg.Loan.Slack)}
 	// A task that starts at the very end of the loan still takes its run time.
-	lon.Drained = lon.Until.Add(dsp.runTimeOf(per))
+	lon.DrainedAt = lon.Until.Add(dsp.runTimeOf(per))
 	dsp.pool.Lend(lon, func(acc *slot.Server, slots uint32) {
 		grt.Loans = append(grt.Loans, Loan{Server: ServerID(acc.ID()), Slots: slots})
 		dsp.stats.SlotsLent += uint64(slots)
-		dsp.timers.push(timer{at: lon.Drained, kind: timerLoan, srv: dsp.servers[ServerID(acc.ID())]})
+		dsp.timers.push(timer{at: lon.DrainedAt, kind: timerLoan, srv: dsp.servers[ServerID(acc.ID())]})
 	})
 	dsp.stats.Grants++
-	dsp.loanFor = min(time.Duration(loanGrowth*float64(dsp.loanFor)), dsp.cfg.Loan.MaxFor)
+	dsp.loanFor = min(time.Duration(loanGrowth*float64(dsp.loanFor)), dsp.cfg.Loan.MaxDuration)
 }
 
 func (dsp *Dispatcher) runTimeOf(per *peer) time.Duration {
@@ -86,7 +86,7 @@
 func (dsp *Dispatcher) lengthOf(per *peer, want, num uint32) time.Duration {
 	rounds := float64(want)/float64(max(num, 1)) - 1
 	need := time.Duration(rounds * float64(dsp.runTimeOf(per)))
-	return min(max(need, per.style.MinFor), dsp.loanFor)
+	return min(max(need, per.style.MinDuration), dsp.loanFor)
 }
 
 // offer lends slots that came free to the peers whose requests still stand, the largest first.
@@ -99,7 +99,7 @@
 		if per == nil {
 			return
 		}
-		due := per.offered.Add(dsp.cfg.Loan.OfferAfter)
+		due := per.offered.Add(dsp.cfg.Loan.OfferDelay)
 		if spare < dsp.cfg.Loan.OfferSlots && now.Before(due) {
 			dsp.borrowLater(due)
 			return
@@ -136,7 +136,7 @@
 		return 0
 	}
 	free := dsp.pool.HomeFree()
-	reserve := uint32(math.Ceil(dsp.cfg.Loan.Reserve * float64(dsp.pool.InUse())))
+	reserve := uint32(math.Ceil(dsp.cfg.Loan.ReserveShare * float64(dsp.pool.InUse())))
 	if reserve >= free {
 		return 0
 	}
@@ -146,7 +146,7 @@
 // lendable returns how many more slots may be lent at all. An entry instance without slots of its
 // own would make its next short job wait for as long as somebody else's tasks run.
 func (dsp *Dispatcher) lendable() uint32 {
-	most := uint32((1 - dsp.cfg.Loan.Keep) * float64(dsp.pool.HomeSlots()))
+	most := uint32((1 - dsp.cfg.Loan.KeepShare) * float64(dsp.pool.HomeSlots()))
 	if dsp.pool.Lent() >= most {
 		return 0
 	}
@@ -160,8 +160,8 @@
 	}
 }
 
-// Returned takes back slots from a peer before the loan ran out.
-func (dsp *Dispatcher) Returned(now time.Time, ret Return) {
+// HandleReturn takes back slots from a peer before the loan ran out.
+func (dsp *Dispatcher) HandleReturn(now time.Time, ret Return) {
 	dsp.enter(now)
 	dsp.stats.ReturnsReceived++
 	if per := dsp.peerOf(ret.Peer); per != nil {
@@ -170,7 +170,7 @@
 	}
 	for _, lon := range ret.Loans {
 		if srv := dsp.servers[lon.Server]; srv != nil {
-			dsp.pool.Returned(srv.acct, string(ret.Peer), lon.Slots)
+			dsp.pool.TakeBack(srv.acct, string(ret.Peer), lon.Slots)
 		}
 	}
 	dsp.advance(now)
--- a/internal/request/dispatch/measure_test.go
+++ b/internal/request/dispatch/measure_test.go
@@ -66,7 +66,7 @@
 }
 
 // A quiet pool: every job must come back whole, each task started once, and few messages wasted.
-func TestQuietPool(tst *testing.T) {
+func TestLightLoadCompletesEveryJob(tst *testing.T) {
 	iss := is.New(tst)
 	trf := traffic{load: 0.6, duration: 3 * time.Second, misdeclared: 1}
 	wkl := newWorkload(riga, trf, 1)
--- a/internal/request/dispatch/members.go
+++ b/internal/request/dispatch/members.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// SetPool replaces the view of the pool after a change of membership. What is in flight on a
+// SetMembership replaces the view of the pool after a change of membership. What is in flight on a
 // backend server that is not in the view any more goes on to its end.
-func (dsp *Dispatcher) SetPool(now time.Time, servers []Server, homes []Home, peers []Peer) {
+func (dsp *Dispatcher) SetMembership(now time.Time, servers []Server, homes []Home, peers []Peer) {
 	dsp.enter(now)
 	own := make(map[ServerID]bool, len(homes))
 	for _, hom := range homes {
--- a/internal/request/dispatch/park.go
+++ b/internal/request/dispatch/park.go
@@ -144,7 +144,7 @@
 		dsp.watchPark(now, prk)
 	case prk.key.reason == parkWidth && !jst.wideTimed:
 		jst.wideTimed = true
-		dsp.timers.push(timer{at: now.Add(dsp.cfg.WideHold), kind: timerWide, jst: jst})
+		dsp.timers.push(timer{at: now.Add(dsp.cfg.WideReserveDelay), kind: timerWide, jst: jst})
 	}
 }
 
@@ -152,7 +152,7 @@
 func (dsp *Dispatcher) watchPark(now time.Time, prk *park) {
 	if !prk.timed {
 		prk.timed = true
-		prk.pause = min(max(2*prk.pause, dsp.cfg.LimitRetry), dsp.cfg.MaxLimitRetry)
+		prk.pause = min(max(2*prk.pause, dsp.cfg.LimitRetryDelay), dsp.cfg.MaxLimitRetryDelay)
 		dsp.timers.push(timer{at: now.Add(prk.pause), kind: timerParked, park: prk})
 	}
 }
--- a/internal/request/dispatch/place.go
+++ b/internal/request/dispatch/place.go
@@ -61,7 +61,7 @@
 	return jst.widths
 }
 
-func (dsp *Dispatcher) long(jst *jobState) bool { return dsp.estimate(jst) >= dsp.cfg.LongTask }
+func (dsp *Dispatcher) long(jst *jobState) bool { return dsp.estimate(jst) >= dsp.cfg.LongTaskRunTime }
 
 // longAllowed keeps some slots for short tasks: a long task that takes the last slot makes many
 // short ones wait for seconds, while it would itself hardly notice a wait.
@@ -78,7 +78,7 @@
 		return true
 	}
 	for _, oth := range dsp.partners {
-		if oth != ptn && now.Sub(oth.seen) < dsp.cfg.PartnerMemory {
+		if oth != ptn && now.Sub(oth.seen) < dsp.cfg.PartnerActiveTime {
 			return false
 		}
 	}
@@ -97,8 +97,8 @@
 		return
 	}
 	dsp.occupy(flt, srv, wid)
-	flt.lateAt = now.Add(max(dsp.cfg.Patience, jst.cls.run.LateAfter(flt.estimate)))
-	dsp.young.push(flt, now.Add(dsp.cfg.Patience))
+	flt.lateAt = now.Add(max(dsp.cfg.AnswerTimeout, jst.cls.run.LateAfter(flt.estimate)))
+	dsp.young.push(flt, now.Add(dsp.cfg.AnswerTimeout))
 	dsp.stats.Starts++
 	dsp.act.Starts = append(dsp.act.Starts, Start{
 		Server:   srv.id,
@@ -109,7 +109,7 @@
 		NotAfter: jst.spec().NotAfter,
 		Slots:    wid,
 		Version:  jst.spec().Class.Version,
-		Once:     !jst.spec().Repeatable,
+		AtMostOnce:     !jst.spec().Repeatable,
 	})
 }
 
@@ -119,14 +119,14 @@
 	flt.estimate = max(dsp.estimate(jst), time.Millisecond)
 	flt.turn++
 	flt.width = wid
-	flt.long = flt.estimate >= dsp.cfg.LongTask
+	flt.long = flt.estimate >= dsp.cfg.LongTaskRunTime
 	flt.incarnation = srv.incarnation
 	flt.asked, flt.askSince, flt.checkAt = time.Time{}, time.Time{}, time.Time{}
 	flt.duplicate = false
 	srv.link(flt)
 	jst.inFlight++
 	jst.ptn.inUse += wid
-	dsp.pool.Use(srv.acct, wid)
+	dsp.pool.Acquire(srv.acct, wid)
 	dsp.drain += 1 / flt.estimate.Seconds()
 	if flt.long {
 		dsp.longInUse += wid
@@ -166,10 +166,10 @@
 	}
 	if dsp.heldFor != nil {
 		jst.wideTimed = true
-		dsp.timers.push(timer{at: now.Add(dsp.cfg.WideHold), kind: timerWide, jst: jst})
+		dsp.timers.push(timer{at: now.Add(dsp.cfg.WideReserveDelay), kind: timerWide, jst: jst})
 		return
 	}
-	acc := dsp.pool.Hold(dsp.widths(jst))
+	acc := dsp.pool.Reserve(dsp.widths(jst))
 	if acc == nil {
 		return
 	}
@@ -190,7 +190,7 @@
 		return
 	}
 	dsp.held, dsp.heldFor = nil, nil
-	dsp.pool.Unhold(srv.acct)
+	dsp.pool.Unreserve(srv.acct)
 	if gone || !srv.open() || !dsp.lim.Take(now, jst.spec().Class, jst.spec().Team) {
 		return
 	}
--- a/internal/request/dispatch/policy_test.go
+++ b/internal/request/dispatch/policy_test.go
@@ -118,10 +118,10 @@
 	for _, ent := range cls.entries {
 		sta := ent.dsp.Snapshot()
 		out.wasted["refusal"] += int(2 * sta.Refusals)
-		out.wasted["loan"] += int(sta.Borrows + sta.BorrowsAsked + sta.Offers + sta.Returns)
-		out.wasted["ask"] += int(sta.Asks + sta.Statuses + sta.Revokes)
+		out.wasted["loan"] += int(sta.Borrows + sta.BorrowsReceived + sta.Offers + sta.Returns)
+		out.wasted["ask"] += int(sta.Queries + sta.Statuses + sta.Revokes)
 		out.wasted["stop"] += int(sta.Stops)
-		out.wasted["renew"] += int(sta.Renews)
+		out.wasted["renew"] += int(sta.Renewals)
 	}
 }
 
--- a/internal/request/dispatch/property_test.go
+++ b/internal/request/dispatch/property_test.go
@@ -115,7 +115,7 @@
 // A caller must never get an answer that is not its own and whole, nor "not run" for work that
 // ran, and no task may start twice, whatever fails in whatever order. Random jobs meet random
 // faults; when all is over the books must balance: no slot, no unit of a limit and no job is left.
-func TestAnyFaults(tst *testing.T) {
+func TestInvariantsUnderRandomFaults(tst *testing.T) {
 	rapid.Check(tst, func(tst *rapid.T) {
 		stm := stir(tst)
 		stm.run(simStart.Add(2 * time.Minute))
--- a/internal/request/dispatch/report.go
+++ b/internal/request/dispatch/report.go
@@ -10,8 +10,8 @@
 // runTimeWeight is the weight of one more task in the average run time.
 const runTimeWeight = 0.01
 
-// Reported takes in a message from a backend server.
-func (dsp *Dispatcher) Reported(now time.Time, rep Report) {
+// HandleReport takes in a message from a backend server.
+func (dsp *Dispatcher) HandleReport(now time.Time, rep Report) {
 	dsp.enter(now)
 	if srv := dsp.servers[rep.Server]; srv != nil {
 		dsp.report(now, srv, &rep)
@@ -81,7 +81,7 @@
 }
 
 func (ptn *partner) earn(cfg *Config) {
-	ptn.retries = min(ptn.retries+cfg.RetryShare, cfg.RetryBurst)
+	ptn.retries = min(ptn.retries+cfg.RetriesPerAnswer, cfg.RetryBurst)
 }
 
 // refused takes in a start that had no effect.
@@ -134,7 +134,7 @@
 		dsp.requeue(jst, flt.idx)
 		return
 	}
-	pause := dsp.cfg.RetryAfter << min(flt.refusals, 8)
+	pause := dsp.cfg.RetryDelay << min(flt.refusals, 8)
 	dsp.timers.push(timer{at: now.Add(dsp.jitter(pause)), kind: timerRetry, jst: jst, num: uint64(flt.idx)})
 	dsp.watchDeadline(jst)
 }
@@ -176,7 +176,7 @@
 	tsk := flt.task()
 	tsk.MarkRunning()
 	flt.asked, flt.askSince = time.Time{}, time.Time{}
-	flt.lateAt = now.Add(max(dsp.cfg.Patience, now.Sub(tsk.SentAt())))
+	flt.lateAt = now.Add(max(dsp.cfg.AnswerTimeout, now.Sub(tsk.SentAt())))
 	if flt.jst.job.Ended() {
 		dsp.stop(flt)
 	}
@@ -197,12 +197,12 @@
 
 // believe lets the backend server's own count of free slots go before the account for a while.
 func (dsp *Dispatcher) believe(now time.Time, srv *server, free uint32) {
-	dsp.pool.Believe(srv.acct, now, free)
-	if srv.acct.Foreign() == 0 {
+	dsp.pool.SetReportedFree(srv.acct, now, free)
+	if srv.acct.UsedByOthers() == 0 {
 		return
 	}
 	fresh := srv.trustUntil.IsZero()
-	srv.trustUntil = now.Add(dsp.cfg.ReportTrust)
+	srv.trustUntil = now.Add(dsp.cfg.ReportValidity)
 	if fresh {
 		dsp.timers.push(timer{at: srv.trustUntil, kind: timerTrust, srv: srv})
 	}
@@ -214,5 +214,5 @@
 		return
 	}
 	srv.trustUntil = time.Time{}
-	dsp.pool.Doubt(srv.acct)
+	dsp.pool.ForgetReport(srv.acct)
 }
--- a/internal/request/dispatch/session.go
+++ b/internal/request/dispatch/session.go
@@ -11,10 +11,10 @@
 // refusedToGiveUp is how many refused connections in a row show that nothing listens any more.
 const refusedToGiveUp = 2
 
-// SessionUp takes in the first report of a new session.
+// HandleSessionUp takes in the first report of a new session.
 //
 // What was sent on an older session may have been lost either way, so all of it is asked for.
-func (dsp *Dispatcher) SessionUp(now time.Time, sid ServerID, rep Report) {
+func (dsp *Dispatcher) HandleSessionUp(now time.Time, sid ServerID, rep Report) {
 	dsp.enter(now)
 	if srv := dsp.servers[sid]; srv != nil {
 		srv.up = true
@@ -26,8 +26,8 @@
 	dsp.advance(now)
 }
 
-// SessionDown takes in the end of a session, or with neverMade a connection that was refused.
-func (dsp *Dispatcher) SessionDown(now time.Time, sid ServerID, neverMade bool) {
+// HandleSessionDown takes in the end of a session, or with neverMade a connection that was refused.
+func (dsp *Dispatcher) HandleSessionDown(now time.Time, sid ServerID, neverMade bool) {
 	dsp.enter(now)
 	if srv := dsp.servers[sid]; srv != nil {
 		if neverMade {
@@ -38,8 +38,8 @@
 	dsp.advance(now)
 }
 
-// SendFailed takes in starts that were never written to any connection.
-func (dsp *Dispatcher) SendFailed(now time.Time, tasks []ServerTask) {
+// HandleSendFailure takes in starts that were never written to any connection.
+func (dsp *Dispatcher) HandleSendFailure(now time.Time, tasks []ServerTask) {
 	dsp.enter(now)
 	for _, tsk := range tasks {
 		srv := dsp.servers[tsk.Server]
@@ -83,7 +83,7 @@
 	})
 	if wasUp {
 		srv.session++
-		dsp.timers.push(timer{at: now.Add(dsp.cfg.GiveUp), kind: timerGiveUp, srv: srv, num: srv.session})
+		dsp.timers.push(timer{at: now.Add(dsp.cfg.UnreachableTimeout), kind: timerGiveUp, srv: srv, num: srv.session})
 	}
 }
 
@@ -122,7 +122,7 @@
 	if known {
 		dsp.loseAll(now, srv, "backend-server-restarted")
 		dsp.detector.Remove(&srv.fault)
-		dsp.pool.SetCeiling(srv.acct, 0)
+		dsp.pool.SetMaxInUse(srv.acct, 0)
 	}
 }
 
@@ -159,7 +159,7 @@
 		return
 	}
 	srv.reconnecting = true
-	srv.pause = min(max(2*srv.pause, dsp.cfg.ReconnectAfter), dsp.cfg.MaxReconnectAfter)
+	srv.pause = min(max(2*srv.pause, dsp.cfg.ReconnectDelay), dsp.cfg.MaxReconnectDelay)
 	dsp.timers.push(timer{at: now.Add(dsp.jitter(srv.pause)), kind: timerReconnect, srv: srv})
 }
 
--- a/internal/request/dispatch/sim_test.go
+++ b/internal/request/dispatch/sim_test.go
@@ -196,7 +196,7 @@
 		}
 	}
 	homes := homesOf(servers, peers)
-	ent.event(func(now time.Time) { ent.dsp.SetPool(now, servers, homes, peers) })
+	ent.event(func(now time.Time) { ent.dsp.SetMembership(now, servers, homes, peers) })
 }
 
 func (cls *cluster) latency(one, two string) time.Duration {
@@ -240,7 +240,7 @@
 		bat := get(stt.Server)
 		bat.starts = append(bat.starts, stt)
 	}
-	for _, ask := range act.Asks {
+	for _, ask := range act.Queries {
 		get(ask.Server).asks = append(get(ask.Server).asks, ask.Task)
 	}
 	for _, rev := range act.Revokes {
@@ -249,7 +249,7 @@
 	for _, stp := range act.Stops {
 		get(stp.Server).stops = append(get(stp.Server).stops, stp.Task)
 	}
-	for _, sid := range act.Renews {
+	for _, sid := range act.Renewals {
 		get(sid).renew = true
 	}
 	for _, sid := range order {
@@ -276,19 +276,19 @@
 		bor.Peer = ent.id
 		ent.cls.after(lat, func() {
 			if per.dead {
-				ent.cls.after(lat, func() { ent.event(func(now time.Time) { ent.dsp.PeerFailed(now, per.id) }) })
+				ent.cls.after(lat, func() { ent.event(func(now time.Time) { ent.dsp.HandlePeerFailure(now, per.id) }) })
 				return
 			}
 			per.event(func(now time.Time) {
-				grt := per.dsp.BorrowAsked(now, bor)
-				ent.cls.after(lat, func() { ent.event(func(now time.Time) { ent.dsp.Granted(now, grt) }) })
+				grt := per.dsp.HandleBorrow(now, bor)
+				ent.cls.after(lat, func() { ent.event(func(now time.Time) { ent.dsp.HandleGrant(now, grt) }) })
 			})
 		})
 	}
 	for _, off := range act.Offers {
 		per := ent.cls.entry(off.To)
 		ent.cls.after(ent.cls.latency(ent.domain, per.domain), func() {
-			per.event(func(now time.Time) { per.dsp.Granted(now, off.Grant) })
+			per.event(func(now time.Time) { per.dsp.HandleGrant(now, off.Grant) })
 		})
 	}
 	for _, ret := range act.Returns {
@@ -296,13 +296,13 @@
 		ret.Peer = ent.id
 		ret.Loans = slices.Clone(ret.Loans)
 		ent.cls.after(ent.cls.latency(ent.domain, per.domain), func() {
-			per.event(func(now time.Time) { per.dsp.Returned(now, ret) })
+			per.event(func(now time.Time) { per.dsp.HandleReturn(now, ret) })
 		})
 	}
 }
 
 func (ent *simEntry) schedule() {
-	due := ent.dsp.NextWake()
+	due := ent.dsp.NextTick()
 	if due.IsZero() || (!ent.wakeAt.IsZero() && !due.Before(ent.wakeAt)) {
 		return
 	}
@@ -311,7 +311,7 @@
 	ent.cls.at(due, func() {
 		if ent.wakeAt.Equal(due) {
 			ent.wakeAt = time.Time{}
-			ent.event(ent.dsp.Wake)
+			ent.event(ent.dsp.HandleTick)
 		}
 	})
 }
@@ -337,7 +337,7 @@
 		}
 		if srv.down {
 			ent.cls.after(lat, func() {
-				ent.event(func(now time.Time) { ent.dsp.SessionDown(now, sid, true) })
+				ent.event(func(now time.Time) { ent.dsp.HandleSessionDown(now, sid, true) })
 			})
 			return
 		}
@@ -345,7 +345,7 @@
 		rep := srv.report()
 		ent.cls.after(lat, func() {
 			if !ses.closed {
-				ent.event(func(now time.Time) { ent.dsp.SessionUp(now, sid, rep) })
+				ent.event(func(now time.Time) { ent.dsp.HandleSessionUp(now, sid, rep) })
 			}
 		})
 	})
--- a/internal/request/dispatch/simserver_test.go
+++ b/internal/request/dispatch/simserver_test.go
@@ -70,7 +70,7 @@
 		}
 		ses.closed = true
 		srv.cls.after(srv.cls.latency(ent.domain, srv.domain), func() {
-			ent.event(func(now time.Time) { ent.dsp.SessionDown(now, srv.id, false) })
+			ent.event(func(now time.Time) { ent.dsp.HandleSessionDown(now, srv.id, false) })
 		})
 	}
 }
@@ -126,12 +126,12 @@
 		again := rep
 		again.FreeSlots = 0
 		srv.cls.after(time.Duration(srv.cls.rnd.IntN(200))*time.Millisecond, func() {
-			ent.event(func(now time.Time) { ent.dsp.Reported(now, again) })
+			ent.event(func(now time.Time) { ent.dsp.HandleReport(now, again) })
 		})
 	}
 	srv.cls.after(srv.cls.latency(ent.domain, srv.domain), func() {
 		if !ses.closed && !ses.silent && !srv.cutOff {
-			ent.event(func(now time.Time) { ent.dsp.Reported(now, rep) })
+			ent.event(func(now time.Time) { ent.dsp.HandleReport(now, rep) })
 			for idx := range rep.Results {
 				if srv.cls.answered != nil && rep.Results[idx].Outcome == dispatch.OutcomeOK {
 					srv.cls.answered(rep.Results[idx].Task)
--- a/internal/request/dispatch/state.go
+++ b/internal/request/dispatch/state.go
@@ -175,5 +175,5 @@
 	offered   time.Time
 	// runTime is that of the tasks it has waiting, and style how it asked.
 	runTime time.Duration
-	style   *LoanStyle
+	style   *LoanPolicy
 }
--- a/internal/request/dispatch/stats.go
+++ b/internal/request/dispatch/stats.go
@@ -13,9 +13,9 @@
 	Refusals, Retries uint64
 	// LateAnswers counts answers that were dropped: late, doubled or crossed.
 	LateAnswers                            uint64
-	Asks, Statuses, Revokes, Stops, Renews uint64
+	Queries, Statuses, Revokes, Stops, Renewals uint64
 	Reconnects, Lost, Ejections, Pauses    uint64
-	Borrows, BorrowsAsked, Grants, Granted uint64
+	Borrows, BorrowsReceived, Grants, GrantsReceived uint64
 	Offers, Returns, ReturnsReceived       uint64
 	SlotsBorrowed, SlotsLent               uint64
 }
--- a/internal/request/dispatch/stop_test.go
+++ b/internal/request/dispatch/stop_test.go
@@ -39,12 +39,12 @@
 		servers[jb.Task(uint32(idx)).Server()] = true
 	}
 	most := uint64(len(servers) * 34 / 5)
-	iss.True(ent.dsp.Snapshot().Renews <= most) // every half lease, not for every task
+	iss.True(ent.dsp.Snapshot().Renewals <= most) // every half lease, not for every task
 }
 
 // An entry instance that is told to stop must finish what it has, take nothing new, say that the
 // new job did not run, and give borrowed slots back.
-func TestLeaveFinishesWhatIsInProgress(tst *testing.T) {
+func TestDrainFinishesOpenJobs(tst *testing.T) {
 	iss := is.New(tst)
 	cls := newCluster(tiny, dispatch.DefaultConfig(), 1)
 	cls.runTime = runFor(300 * time.Millisecond)
@@ -53,7 +53,7 @@
 	jb := plainJob(cls, "old", 40)
 	ent.event(func(now time.Time) { iss.True(ent.dsp.Submit(now, jb) == nil) })
 	cls.run(simStart.Add(200 * time.Millisecond))
-	ent.event(ent.dsp.Leave)
+	ent.event(ent.dsp.Drain)
 	late := plainJob(cls, "new", 1)
 	ent.event(func(now time.Time) {
 		err := ent.dsp.Submit(now, late)
@@ -69,7 +69,7 @@
 
 // A wave of cancels must not flood: one batch goes to each backend server, and tasks that wait
 // cost no message at all.
-func TestCancelStopsByServer(tst *testing.T) {
+func TestCancelSendsOneStopBatchPerServer(tst *testing.T) {
 	iss := is.New(tst)
 	cls := newCluster(tiny, dispatch.DefaultConfig(), 1)
 	cls.runTime = runFor(5 * time.Second)
--- a/internal/request/slot/pool.go
+++ b/internal/request/slot/pool.go
@@ -148,8 +148,8 @@
 	return one
 }
 
-// Use takes slots for a task.
-func (pol *Pool) Use(srv *Server, num uint32) {
+// Acquire takes slots for a task.
+func (pol *Pool) Acquire(srv *Server, num uint32) {
 	srv.inFlight += num
 	srv.rack.inFlight += int(num)
 	pol.inUse += num
@@ -171,18 +171,18 @@
 	pol.refile(srv)
 }
 
-// SetCeiling bounds the slots in use; 0 lifts the bound.
-func (pol *Pool) SetCeiling(srv *Server, num uint32) {
+// SetMaxInUse bounds the slots in use; 0 lifts the bound.
+func (pol *Pool) SetMaxInUse(srv *Server, num uint32) {
 	srv.ceiling = num
 	pol.refile(srv)
 }
 
-// Believe takes over the free count that the backend server reported.
+// SetReportedFree takes over the free count that the backend server reported.
 //
 // A start that is still on its way is counted in inFlight but not by the server, so that what is
 // left over is a lower bound of what others use: it never makes up a user that is not there. Loans
 // that have ended hold no more than that, since nothing new starts on them.
-func (pol *Pool) Believe(srv *Server, now time.Time, free uint32) {
+func (pol *Pool) SetReportedFree(srv *Server, now time.Time, free uint32) {
 	srv.foreign = less(srv.slots, min(free, srv.slots)+srv.inFlight)
 	if srv.lentSum > srv.foreign {
 		srv.lent = trim(srv.lent, now, srv.foreign)
@@ -197,14 +197,14 @@
 	pol.lent += srv.lentSum
 }
 
-// Doubt forgets what others use: a report grows old, and the next refusal brings a new one.
-func (pol *Pool) Doubt(srv *Server) {
+// ForgetReport forgets what others use: a report grows old, and the next refusal brings a new one.
+func (pol *Pool) ForgetReport(srv *Server) {
 	srv.foreign = 0
 	pol.refile(srv)
 }
 
-// Foreign returns how many slots others are believed to use.
-func (srv *Server) Foreign() uint32 { return srv.foreign }
+// UsedByOthers returns how many slots others are believed to use.
+func (srv *Server) UsedByOthers() uint32 { return srv.foreign }
 
 // Lend lends up to as many free slots of own backend servers as the loan names, the freest first,
 // and calls each for every backend server.
@@ -241,7 +241,7 @@
 
 // Borrow adds slots that a peer lent.
 func (pol *Pool) Borrow(srv *Server, peer string, num uint32, until time.Time) {
-	srv.borrowed = append(srv.borrowed, Loan{Peer: peer, Slots: num, Until: until, Drained: until})
+	srv.borrowed = append(srv.borrowed, Loan{Peer: peer, Slots: num, Until: until, DrainedAt: until})
 	srv.borrowedSum += num
 	pol.refile(srv)
 }
@@ -255,8 +255,8 @@
 	pol.refile(srv)
 }
 
-// Returned takes back slots that a peer had borrowed and returns how many they were.
-func (pol *Pool) Returned(srv *Server, peer string, num uint32) uint32 {
+// TakeBack takes back slots that a peer had borrowed and returns how many they were.
+func (pol *Pool) TakeBack(srv *Server, peer string, num uint32) uint32 {
 	kept, taken := give(srv.lent, peer, num)
 	srv.lent = kept
 	srv.lentSum -= taken
@@ -322,9 +322,9 @@
 	pol.file(srv)
 }
 
-// Hold keeps a backend server on which a task of these widths could fit: nothing else is picked on
+// Reserve keeps a backend server on which a task of these widths could fit: nothing else is picked on
 // it. The one with the fewest slots in use is taken.
-func (pol *Pool) Hold(widths []uint32) *Server {
+func (pol *Pool) Reserve(widths []uint32) *Server {
 	var best *Server
 	for _, srv := range pol.servers {
 		wid := widths[srv.group.shape]
@@ -342,8 +342,8 @@
 	return best
 }
 
-// Unhold lets go of a backend server that Hold kept.
-func (pol *Pool) Unhold(srv *Server) {
+// Unreserve lets go of a backend server that Hold kept.
+func (pol *Pool) Unreserve(srv *Server) {
 	srv.held = false
 	pol.refile(srv)
 }
--- a/internal/request/slot/pool_test.go
+++ b/internal/request/slot/pool_test.go
@@ -77,29 +77,29 @@
 	switch rapid.IntRange(0, 9).Draw(tst, "event") {
 	case 0, 1, 2:
 		if got, wid := pol.Pick([]uint32{1}); got != nil {
-			pol.Use(got, wid)
+			pol.Acquire(got, wid)
 		}
 	case 3:
-		pol.Release(srv, min(num, srv.InFlight()))
+		pol.Release(srv, min(num, srv.InUse()))
 	case 4:
 		var lent uint32
 		free := pol.HomeFree()
-		pol.Lend(slot.Loan{Peer: "a", Slots: num, Until: until, Drained: until.Add(time.Second)}, func(_ *slot.Server, got uint32) {
+		pol.Lend(slot.Loan{Peer: "a", Slots: num, Until: until, DrainedAt: until.Add(time.Second)}, func(_ *slot.Server, got uint32) {
 			lent += got
 		})
 		if lent != min(num, free) {
 			tst.Fatalf("lent %d of %d with %d free", lent, num, free)
 		}
 	case 5:
-		pol.Returned(srv, "a", num)
+		pol.TakeBack(srv, "a", num)
 	case 6:
-		pol.Believe(srv, clk, min(num, srv.Slots()))
+		pol.SetReportedFree(srv, clk, min(num, srv.Slots()))
 	case 7:
 		pol.Expire(srv, clk)
 	case 8:
 		pol.SetOpen(srv, num%3 != 0)
 	case 9:
-		pol.SetCeiling(srv, num%3)
+		pol.SetMaxInUse(srv, num%3)
 	}
 }
 
@@ -107,10 +107,10 @@
 	var free, used, lent uint32
 	for _, srv := range servers {
 		free += srv.Free()
-		used += srv.InFlight()
+		used += srv.InUse()
 		lent += srv.Lent()
-		if srv.Free()+srv.InFlight() > srv.Slots() {
-			tst.Fatalf("%s: %d free and %d in use of %d", srv.ID(), srv.Free(), srv.InFlight(), srv.Slots())
+		if srv.Free()+srv.InUse() > srv.Slots() {
+			tst.Fatalf("%s: %d free and %d in use of %d", srv.ID(), srv.Free(), srv.InUse(), srv.Slots())
 		}
 	}
 	if free != pol.Free() || used != pol.InUse() || lent != pol.Lent() {
@@ -124,12 +124,12 @@
 func TestPickPrefersOwnDomainThenMostFree(tst *testing.T) {
 	iss := is.New(tst)
 	pol, servers := newPool(4, 4)
-	pol.Use(servers[0], 3)
+	pol.Acquire(servers[0], 3)
 	for range 3 {
 		srv, wid := pol.Pick([]uint32{1})
-		pol.Use(srv, wid)
+		pol.Acquire(srv, wid)
 	}
-	iss.Equal(servers[2].InFlight(), uint32(3)) // own failure domain, most free
+	iss.Equal(servers[2].InUse(), uint32(3)) // own failure domain, most free
 	srv, _ := pol.Pick([]uint32{2})
 	iss.True(srv == servers[1] || srv == servers[3]) // two slots are free in the other one only
 }
@@ -140,13 +140,13 @@
 		bch.Run(fmt.Sprint("servers-", num), func(bch *testing.B) {
 			pol, servers := newPool(num, 8)
 			for idx, srv := range servers {
-				pol.Use(srv, uint32(idx%8))
+				pol.Acquire(srv, uint32(idx%8))
 			}
 			widths := []uint32{1}
 			bch.ReportAllocs()
 			for bch.Loop() {
 				srv, wid := pol.Pick(widths)
-				pol.Use(srv, wid)
+				pol.Acquire(srv, wid)
 				pol.Release(srv, wid)
 			}
 		})
--- a/internal/request/slot/server.go
+++ b/internal/request/slot/server.go
@@ -40,8 +40,8 @@
 	Slots uint32
 	// Until is when the loan ends: no task starts on it any more.
 	Until time.Time
-	// Drained is when the last task that started on it is thought to have ended.
-	Drained time.Time
+	// DrainedAt is when the last task that started on it is thought to have ended.
+	DrainedAt time.Time
 }
 
 type rack struct{ inFlight int }
@@ -52,8 +52,8 @@
 // Slots returns how many slots the backend server has.
 func (srv *Server) Slots() uint32 { return srv.slots }
 
-// InFlight returns how many slots this entry instance uses.
-func (srv *Server) InFlight() uint32 { return srv.inFlight }
+// InUse returns how many slots this entry instance uses.
+func (srv *Server) InUse() uint32 { return srv.inFlight }
 
 // Home reports whether this entry instance gives out the slots of the backend server.
 func (srv *Server) Home() bool { return srv.home }
@@ -113,7 +113,7 @@
 func undrained(lns []Loan, now time.Time) []Loan {
 	kept := lns[:0]
 	for _, lon := range lns {
-		if lon.Drained.After(now) {
+		if lon.DrainedAt.After(now) {
 			kept = append(kept, lon)
 		}
 	}
