--- a/internal/request/dispatch/admit.go
+++ b/internal/request/dispatch/admit.go
@@ -12,13 +12,14 @@
 	maxRetryAfter = 10 * time.Second
 )
 
-// Submit takes a job whole or refuses it whole; a refusal proves that nothing ran.
+// Submit admits all tasks of a job or refuses the whole job; it returns nil or the reason of the refusal. A
+// refusal with the verdict not-run proves that no task ran.
 func (dsp *Dispatcher) Submit(now time.Time, jb *job.Job) *verdict.Error {
-	dsp.enter(now)
+	dsp.beginEvent(now)
 	jst := dsp.newJobState(jb)
 	if err := dsp.admit(now, jst); err != nil {
 		dsp.stats.JobsRefused++
-		dsp.advance(now)
+		dsp.endEvent(now)
 		return err
 	}
 	dsp.stats.JobsAdmitted++
@@ -28,47 +29,49 @@
 		return nil
 	}
 	dsp.jobs[jst.spec().Submission] = jst
-	jst.limit = dsp.parkFor(parkKey{reason: parkLimit, class: jst.cls.name, team: jst.spec().Team})
+	jst.limit = dsp.parkOf(parkKey{reason: parkLimit, class: jst.cls.name, team: jst.spec().Team})
 	jst.limit.users++
 	dsp.enqueue(jst)
-	dsp.advance(now)
-	dsp.watchDeadline(jst)
+	dsp.endEvent(now)
+	dsp.scheduleDeadline(jst)
 	return nil
 }
 
-// Cancel ends a job: waiting tasks are dropped, started ones stopped. It reports false if the job
-// had ended, or is not here.
+// Cancel ends a job at its caller's request: waiting tasks are dropped, started ones are stopped. It reports false
+// if the job has ended or is not known here.
 func (dsp *Dispatcher) Cancel(now time.Time, jb *job.Job) bool {
 	return dsp.End(now, jb, job.ReasonCancelled)
 }
 
-// End is Cancel for another reason than the caller's wish.
+// End does the same as Cancel, with another reason in the job's verdict.
 func (dsp *Dispatcher) End(now time.Time, jb *job.Job, reason string) bool {
-	dsp.enter(now)
+	dsp.beginEvent(now)
 	jst := dsp.jobs[jb.Spec().Submission]
 	here := jst != nil && jst.job == jb && !jb.Ended()
 	if here {
 		dsp.endJob(now, jst, verdict.New(jb.FailureVerdict(), reason))
 	}
-	dsp.advance(now)
+	dsp.endEvent(now)
 	return here
 }
 
+// newJobState returns the state of a job that has not been admitted yet. Its pending tasks are those that have
+// no answer.
 func (dsp *Dispatcher) newJobState(jb *job.Job) *jobState {
 	spc := jb.Spec()
-	jst := &jobState{job: jb, cls: dsp.classOf(spc.Class.Name), flights: make([]flight, jb.TaskCount())}
+	jst := &jobState{job: jb, cls: dsp.classOf(spc.Class.Name), attempts: make([]attempt, jb.TaskCount())}
 	jst.item.Value = jst
 	jst.ptn = dsp.partnerOf(spc.Class.Owner)
 	jst.pending = make([]uint32, 0, jb.TaskCount())
 	var declared time.Duration
-	for idx := range jst.flights {
-		// The last pending task is sent first. A job that was taken over has some answers already.
+	for idx := range jst.attempts {
+		// The last pending task is sent first. A job taken over from another instance has some answers already.
 		last := uint32(jb.TaskCount() - 1 - idx)
 		if jb.Task(last).State() == job.Waiting {
 			jst.pending = append(jst.pending, last)
 		}
-		jst.flights[idx].jst = jst
-		jst.flights[idx].idx = uint32(idx)
+		jst.attempts[idx].jst = jst
+		jst.attempts[idx].idx = uint32(idx)
 		declared += spc.Tasks[idx].ExpectedRunTime
 	}
 	if jb.TaskCount() > 0 {
@@ -79,13 +82,14 @@
 	return jst
 }
 
+// admit returns why a job is refused, or nil if it is admitted.
 func (dsp *Dispatcher) admit(now time.Time, jst *jobState) *verdict.Error {
 	spc := jst.spec()
 	if dsp.leaving {
 		return verdict.New(verdict.NotRun, "leaving").WithRetryAfter(minRetryAfter)
 	}
 	if dsp.jobs[spc.Submission] != nil {
-		// The other arrival of the submission may run, so that not-run can't be said.
+		// The job of the earlier submission may run, so that the verdict can't be not-run.
 		return verdict.New(verdict.MayHaveRun, "duplicate-submission")
 	}
 	if jst.expired(now) {
@@ -100,6 +104,7 @@
 	return dsp.admitLoad(now, jst)
 }
 
+// fits reports whether a task of these widths fits on the backend servers of at least one shape.
 func fits(widths []uint32) bool {
 	for _, wid := range widths {
 		if wid > 0 {
@@ -109,8 +114,8 @@
 	return false
 }
 
-// admitLoad refuses what would wait in vain: past the queue limit of the catalogue entry, or past
-// the time at which its own deadline can still be met.
+// admitLoad refuses a job that exceeds the queue limit of its catalogue entry, or that would wait longer than
+// MaxWait or past its not-after time.
 func (dsp *Dispatcher) admitLoad(now time.Time, jst *jobState) *verdict.Error {
 	spc := jst.spec()
 	limit := int(spc.Class.Limits.Queue)
@@ -125,16 +130,16 @@
 	if !spc.NotAfter.IsZero() {
 		room = min(room, spc.NotAfter.Sub(now))
 	}
-	// Shorter jobs that arrive later overtake a long one, so that it waits longer than for what is
-	// there now.
-	if hopeless := time.Duration(dsp.cfg.AdmitWaitFactor * float64(wait)); hopeless > room {
-		return verdict.New(verdict.NotRun, "overload").WithRetryAfter(bounded(hopeless - room))
+	// Shorter jobs that arrive later overtake a long one, so that the wait is longer than the present backlog
+	// alone makes it.
+	if safeWait := time.Duration(dsp.cfg.AdmitWaitFactor * float64(wait)); safeWait > room {
+		return verdict.New(verdict.NotRun, "overload").WithRetryAfter(bounded(safeWait - room))
 	}
 	return nil
 }
 
-// expectedWait returns when the last task of the job could start if the partner's backlog goes
-// first and the partners that have one share the slots alike.
+// expectedWait returns the time until the last task of the job could start, if the partner's backlog goes first
+// and the partners that have a backlog share the slots equally.
 func (dsp *Dispatcher) expectedWait(jst *jobState) time.Duration {
 	slots := float64(dsp.pool.InUse() + dsp.pool.Free())
 	slots = max(slots, float64(dsp.pool.HomeSlots()), 1)
@@ -148,12 +153,14 @@
 	return time.Duration(float64(work) * float64(1+max(others, 0)) / slots)
 }
 
+// bounded returns dur within the bounds of a retry delay told to callers.
 func bounded(dur time.Duration) time.Duration {
 	return min(max(dur, minRetryAfter), maxRetryAfter)
 }
 
-// watchDeadline sets a timer for a job that could not be sent at once; jobs that could need none.
-func (dsp *Dispatcher) watchDeadline(jst *jobState) {
+// scheduleDeadline sets a timer for the not-after time of a job that has waiting tasks. A job that was sent at
+// once needs none.
+func (dsp *Dispatcher) scheduleDeadline(jst *jobState) {
 	if jst.deadline != nil || jst.job.Ended() || len(jst.pending) == 0 || jst.spec().NotAfter.IsZero() {
 		return
 	}
@@ -161,6 +168,7 @@
 	dsp.timers.push(timer{at: jst.spec().NotAfter, kind: timerDeadline, dln: jst.deadline})
 }
 
+// deadlineDue ends a job that still has tasks to be sent at its not-after time.
 func (dsp *Dispatcher) deadlineDue(now time.Time, dln *deadline) {
 	jst := dln.jst
 	if jst == nil || jst.job.Ended() || !jst.hasWaiting() {
@@ -169,7 +177,7 @@
 	dsp.endJob(now, jst, verdict.New(jst.job.FailureVerdict(), "not-after-passed"))
 }
 
-// hasWaiting reports whether a task still has to be sent, be it pending or between two attempts.
+// hasWaiting reports whether a task still has to be sent, whether it is pending or delayed before a retry.
 func (jst *jobState) hasWaiting() bool {
 	for idx := range jst.job.TaskCount() {
 		if jst.job.Task(uint32(idx)).State() == job.Waiting {
@@ -179,27 +187,27 @@
 	return false
 }
 
-// endJob gives a job its final answer: waiting tasks are dropped without a message, tasks in
-// flight are stopped.
+// endJob ends a job with its final answer: waiting tasks are dropped without a message, and if err is set, tasks
+// in flight are stopped.
 func (dsp *Dispatcher) endJob(_ time.Time, jst *jobState, err *verdict.Error) {
 	dsp.dequeue(jst)
 	dsp.setPending(jst, nil)
-	for idx := range jst.flights {
-		flt := &jst.flights[idx]
-		flt.task().MarkDropped()
-		if err != nil && flt.srv != nil && flt.srv.up {
-			dsp.stop(flt)
+	for idx := range jst.attempts {
+		att := &jst.attempts[idx]
+		att.task().MarkDropped()
+		if err != nil && att.srv != nil && att.srv.up {
+			dsp.stopTask(att)
 		}
 	}
 	if jst.job.End(err) {
 		dsp.act.Ended = append(dsp.act.Ended, Ended{Job: jst.job})
 		dsp.stats.JobsEnded++
 	}
-	dsp.forget(jst)
+	dsp.forgetIfDone(jst)
 }
 
-// forget drops a job that has ended and has nothing in flight.
-func (dsp *Dispatcher) forget(jst *jobState) {
+// forgetIfDone removes a job that has ended and has no task in flight.
+func (dsp *Dispatcher) forgetIfDone(jst *jobState) {
 	if jst.inFlight == 0 && jst.job.Ended() && dsp.jobs[jst.spec().Submission] == jst {
 		delete(dsp.jobs, jst.spec().Submission)
 		dsp.leavePark(jst.limit)
@@ -209,7 +217,8 @@
 	}
 }
 
-func (dsp *Dispatcher) stop(flt *flight) {
-	dsp.act.Stops = append(dsp.act.Stops, ServerTask{Server: flt.srv.id, Task: flt.task().ID()})
+// stopTask tells the backend server to stop the task.
+func (dsp *Dispatcher) stopTask(att *attempt) {
+	dsp.act.Stops = append(dsp.act.Stops, ServerTask{Server: att.srv.id, Task: att.task().ID()})
 	dsp.stats.Stops++
 }
--- a/internal/request/dispatch/api.go
+++ b/internal/request/dispatch/api.go
@@ -6,31 +6,32 @@
 	"chestnutstack/internal/request/job"
 )
 
-// ServerID names a backend server.
+// ServerID identifies a backend server.
 type ServerID string
 
-// PeerID names an entry instance, this one or another.
+// PeerID identifies an entry instance, this one or another.
 type PeerID string
 
-// Server is what the list of instances tells of a backend server.
+// Server is a backend server as the list of instances describes it.
 type Server struct {
 	ID            ServerID
 	FailureDomain string
 	Rack          string
 	Worker        string
 	Slots         uint32
-	// Capacity is what all slots of the backend server share.
+	// Capacity is the total of resources that all slots of the backend server share.
 	Capacity job.Needs
 	Leaving  bool
 }
 
-// Home says which entry instance may give out the slots of a backend server.
+// Home names the entry instance that a backend server is assigned to: it alone may use the server's slots or lend
+// them.
 type Home struct {
 	Server ServerID
 	Peer   PeerID
 }
 
-// Report is what a backend server said in one message.
+// Report is the content of one message from a backend server.
 type Report struct {
 	Server      ServerID
 	Incarnation string
@@ -46,7 +47,7 @@
 type Outcome int
 
 const (
-	// OutcomeOK means that the task ran and answered.
+	// OutcomeOK means that the task ran and returned an answer.
 	OutcomeOK Outcome = iota + 1
 	// OutcomeFailed means that the task ran and failed.
 	OutcomeFailed
@@ -54,7 +55,7 @@
 	OutcomeStopped
 )
 
-// Result is the end of a task on a backend server.
+// Result is the end of a task on a backend server, with its answer or error.
 type Result struct {
 	Task    job.TaskID
 	Outcome Outcome
@@ -69,19 +70,19 @@
 type RefusalReason int
 
 const (
-	// RefusedFull means that no slot was free.
+	// RefusedFull means that not enough slots were free.
 	RefusedFull RefusalReason = iota + 1
 	// RefusedLeaving means that the backend server takes no new task.
 	RefusedLeaving
-	// RefusedTooLate means that the start arrived past its not-after time.
+	// RefusedTooLate means that the start arrived after its not-after time.
 	RefusedTooLate
-	// RefusedRevoked means that the id was revoked before it arrived.
+	// RefusedRevoked means that the task's id was revoked before the start arrived.
 	RefusedRevoked
-	// RefusedDuplicate means that the backend server already has the task; it may run there.
+	// RefusedDuplicate means that the backend server already has the task, so that the task may run there.
 	RefusedDuplicate
 )
 
-// Refused says that a start had no effect.
+// Refused reports a start that had no effect.
 type Refused struct {
 	Task   job.TaskID
 	Reason RefusalReason
@@ -91,24 +92,25 @@
 type TaskState int
 
 const (
-	// TaskUnknown is no proof: the start may still be on its way.
+	// TaskUnknown means that the backend server does not know the task; this proves nothing, since the start may
+	// still be on its way.
 	TaskUnknown TaskState = iota + 1
-	// TaskRunning means that the result will follow on the session that asked.
+	// TaskRunning means that the task runs; its result will be sent on the session that the query came on.
 	TaskRunning
-	// TaskEnded comes with the stored result.
+	// TaskEnded means that the task has ended; the status carries the stored result.
 	TaskEnded
-	// TaskRevoked proves that the id never started there and never will.
+	// TaskRevoked proves that the task id never started on the backend server and never will.
 	TaskRevoked
 )
 
-// Status answers an ask or a revoke.
+// Status answers a query or a revoke.
 type Status struct {
 	Task   job.TaskID
 	State  TaskState
 	Result Result
 }
 
-// Start asks a backend server to run a task.
+// Start tells a backend server to run a task.
 type Start struct {
 	Server   ServerID
 	Task     job.TaskID
@@ -118,31 +120,32 @@
 	NotAfter time.Time
 	Slots    uint32
 	Version  uint64
-	// AtMostOnce marks work that must run at most once: whoever sends it looks at its claim first.
+	// AtMostOnce marks a task that must not run twice: the sender checks the submission's claim before it sends
+	// the start.
 	AtMostOnce bool
 }
 
-// ServerTask names a task at a backend server.
+// ServerTask identifies a task on a backend server.
 type ServerTask struct {
 	Server ServerID
 	Task   job.TaskID
 }
 
-// Loan is a number of slots of one backend server, lent until a time.
+// Loan is a number of slots of one backend server that are lent until the time that the grant sets.
 type Loan struct {
 	Server ServerID
 	Slots  uint32
 }
 
-// Borrow asks a peer for idle slots.
+// Borrow is a request to a peer for idle slots.
 type Borrow struct {
 	Peer PeerID
-	// Slots that the asking entry could use at once.
+	// Slots is how many slots the borrower could use at once.
 	Slots uint32
-	// Free slots that the asking entry itself has; for the peer's own next choice.
+	// Free is how many slots the borrower itself could lend; the peer uses the count when it chooses whom to ask.
 	Free uint32
-	// RunTime of the tasks that wait, so that the peer knows how long after the loan its slots
-	// are still in use; 0 if it is not known.
+	// RunTime is the estimated run time of the borrower's waiting tasks, from which the peer computes how long
+	// after the end of the loan its slots are still in use; 0 if it is not known.
 	RunTime time.Duration
 	// NoOffers says that slots that come free later need not be offered.
 	NoOffers bool
@@ -152,48 +155,48 @@
 type Grant struct {
 	Peer  PeerID
 	Loans []Loan
-	// Duration how long the slots may be used for new starts.
+	// Duration is how long tasks may be started on the lent slots.
 	Duration time.Duration
-	// Free slots that the granting peer still has.
+	// Free is how many slots the lender could still lend.
 	Free uint32
 }
 
-// Offer is a Grant that was not asked for again: the peer had asked for more than was idle then.
+// Offer is a Grant sent without a new request, to a peer that had asked for more slots than were idle at the time.
 type Offer struct {
 	To    PeerID
 	Grant Grant
 }
 
-// Return gives lent slots back to their home.
+// Return gives borrowed slots back to the peer that lent them.
 type Return struct {
 	Peer  PeerID
 	Loans []Loan
 	Free  uint32
 }
 
-// Ended is the end of a job.
+// Ended reports that a job has ended.
 type Ended struct {
 	Job *job.Job
 }
 
-// Actions is what the caller of a Dispatcher has to do after an event, in this order.
+// Actions is what the caller of a Dispatcher has to do after an event, in the order of the fields.
 type Actions struct {
 	Starts  []Start
-	Queries    []ServerTask
+	Queries []ServerTask
 	Revokes []ServerTask
 	Stops   []ServerTask
-	// Renewals lists backend servers that are to be told to move the end of the leases.
+	// Renewals lists the backend servers on which the leases of this instance's tasks are to be extended.
 	Renewals []ServerID
-	// Reconnects lists backend servers to which a fresh connection is to be opened.
+	// Reconnects lists the backend servers to which a new connection is to be opened.
 	Reconnects []ServerID
 	Borrows    []Borrow
-	// Offers go to peers as they are; each peer is told by Granted and replies nothing.
+	// Offers are sent to peers as they are; the receiving peer passes the grant to HandleGrant and does not reply.
 	Offers  []Offer
 	Returns []Return
 	Ended   []Ended
 }
 
-// Reset empties the actions and keeps their memory.
+// Reset empties the actions and keeps their allocated memory.
 func (act *Actions) Reset() {
 	act.Starts = act.Starts[:0]
 	act.Queries = act.Queries[:0]
@@ -207,10 +210,10 @@
 	act.Ended = act.Ended[:0]
 }
 
-// Limits says whether the limits of a catalogue entry allow one more task now.
+// Limits decides whether the limits of a catalogue entry and its team allow one more task to start now.
 type Limits interface {
-	// Take takes one unit of every limit that the task counts against, or none.
+	// Take takes one unit of each limit that counts the task, or of none; it reports whether it took them.
 	Take(now time.Time, cls *job.Class, team string) bool
-	// Release gives back what Take took, once the task has ended.
+	// Release gives back the units that Take took, once the task has ended.
 	Release(now time.Time, cls *job.Class, team string)
 }
--- a/internal/request/dispatch/bench_test.go
+++ b/internal/request/dispatch/bench_test.go
@@ -12,7 +12,7 @@
 
 const benchTeams = 980
 
-// teamQuotas bounds the tasks of each team.
+// teamQuotas is a Limits that bounds the running tasks of each team.
 type teamQuotas map[string]int
 
 func (tqs teamQuotas) Take(_ time.Time, _ *job.Class, team string) bool {
@@ -29,7 +29,7 @@
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	cfg := DefaultConfig()
 	cfg.Self, cfg.FailureDomain = "self", "domain"
-	// The backlog of all teams is longer than the default lets in; here it is there from the start.
+	// The backlog of all teams, which is there from the start, exceeds the default MaxWait.
 	cfg.MaxWait = time.Hour
 	quotas := teamQuotas{}
 	dsp := New(cfg, quotas, rand.New(rand.NewPCG(1, 1)))
@@ -63,30 +63,30 @@
 	return dsp, now
 }
 
-// One decision: a slot comes free, the next task of the fairest job takes it. It must not get
-// slower with the number of known backend servers; with that of the own ones it does, since the
-// tasks in flight no longer fit into the processor's cache.
+// Measures one decision: a slot comes free, and the next task of the job that is first in the fair queue takes it.
+// The time must not grow with the number of known backend servers. It grows with the number of own ones, since the
+// tasks in flight then exceed the processor's cache.
 func BenchmarkDecision(bch *testing.B) {
 	for _, size := range []struct{ servers, own int }{{50, 50}, {500, 50}, {3700, 50}, {3700, 3700}} {
 		bch.Run(fmt.Sprintf("servers-%d-own-%d-teams-%d", size.servers, size.own, benchTeams), func(bch *testing.B) {
 			dsp, now := benchDispatcher(size.servers, size.own, benchTeams)
-			var inFlight []*flight
+			var inFlight []*attempt
 			for _, srv := range dsp.listing {
-				srv.each(func(flt *flight) { inFlight = append(inFlight, flt) })
+				srv.each(func(att *attempt) { inFlight = append(inFlight, att) })
 			}
 			if len(inFlight) == 0 {
 				bch.Fatal("nothing in flight")
 			}
-			turn := 0
+			number := 0
 			bch.ReportAllocs()
 			for bch.Loop() {
-				flt := inFlight[turn%len(inFlight)]
-				turn++
-				dsp.proved(now, flt)
-				dsp.requeue(flt.jst, flt.idx)
-				dsp.place(now)
+				att := inFlight[number%len(inFlight)]
+				number++
+				dsp.recordNotRun(now, att)
+				dsp.requeue(att.jst, att.idx)
+				dsp.startWaiting(now)
 				if sts := dsp.act.Starts; len(sts) > 0 {
-					inFlight[(turn-1)%len(inFlight)] = dsp.find(dsp.servers[sts[0].Server], sts[0].Task)
+					inFlight[(number-1)%len(inFlight)] = dsp.attemptOf(dsp.servers[sts[0].Server], sts[0].Task)
 				}
 				dsp.act.Reset()
 				dsp.NextTick()
@@ -95,7 +95,7 @@
 	}
 }
 
-// A whole job of ten tasks, from its submission to its answer, without messages and codecs.
+// Measures a job of ten tasks from its submission to its answer, without messages and encoding.
 func BenchmarkJob(bch *testing.B) {
 	const tasks = 10
 	for _, servers := range []int{50, 500, 3700} {
@@ -116,7 +116,7 @@
 				}
 				answerAll(dsp, now, jb)
 				if !jb.Complete() {
-					bch.Fatal("the job is not whole")
+					bch.Fatal("the job is incomplete")
 				}
 				dsp.act.Reset()
 			}
--- a/internal/request/dispatch/borrow.go
+++ b/internal/request/dispatch/borrow.go
@@ -8,73 +8,77 @@
 )
 
 const (
-	// freeTrust is how long the free count that a peer told of itself is believed.
-	freeTrust = time.Second
-	// guessShare is the share of the own slots that a peer is thought to have free before any told.
-	guessShare = 0.5
-	// guessWeight is the weight of one more grant in what peers are thought to have free.
-	guessWeight = 0.2
+	// reportedFreeValidity is how long the free slots that a peer reported are taken as current.
+	reportedFreeValidity = time.Second
+	// defaultFreeShare is how many slots a peer is assumed to have free before any grant was received, as a share
+	// of this instance's own slots.
+	defaultFreeShare = 0.5
+	// freeAverageWeight is the weight of a new grant in the moving average of a peer's free slots.
+	freeAverageWeight = 0.2
 )
 
-// borrow asks peers for slots when waiting for own ones would take longer than a loan is worth,
-// and gives idle loans back.
-func (dsp *Dispatcher) borrow(now time.Time) {
+// borrowSlots requests slots from peers if waiting for this instance's own slots would take longer than the policy
+// of the waiting job allows. If no task waits for a slot, it gives idle borrowed slots back and offers idle own
+// slots.
+func (dsp *Dispatcher) borrowSlots(now time.Time) {
 	if dsp.queued == 0 {
 		dsp.giveBackIdle(now)
-		dsp.offer(now)
+		dsp.offerSlots(now)
 		return
 	}
 	dsp.idleSince = time.Time{}
-	dsp.regret()
-	if now.Before(dsp.askAfter) {
+	dsp.shortenLoans()
+	if now.Before(dsp.requestAfter) {
 		return
 	}
 	want := dsp.shortage(now)
 	for num := 0; want > 0 && num < dsp.cfg.Loan.MaxParallelRequests; num++ {
-		per := dsp.lender(now)
+		per := dsp.bestLender(now)
 		if per == nil {
 			break
 		}
-		// The rest goes to the next peer only if this one can't have it all.
-		part := min(want, max(dsp.believedFree(now, per), 1))
-		if num+1 == dsp.cfg.Loan.MaxParallelRequests || dsp.lastLender(now, per) {
+		// Each peer is asked for as many slots as it probably has free, so that the next one is asked only for the
+		// rest; the last one is asked for all of the rest.
+		part := min(want, max(dsp.estimatedFree(now, per), 1))
+		if num+1 == dsp.cfg.Loan.MaxParallelRequests || dsp.onlyLender(now, per) {
 			part = want
 		}
-		dsp.askLoan(now, per, part)
+		dsp.requestLoan(now, per, part)
 		want -= part
 	}
 }
 
-// style returns what the job's catalogue entry would rather spend.
-func (dsp *Dispatcher) style(jst *jobState) *LoanPolicy {
+// policyOf returns the loan policy that the job's catalogue entry prefers.
+func (dsp *Dispatcher) policyOf(jst *jobState) *LoanPolicy {
 	if jst.spec().Class.Prefer == job.PreferMessages {
 		return &dsp.cfg.Loan.PreferMessages
 	}
 	return &dsp.cfg.Loan.PreferResponse
 }
 
-// shortage returns how many slots more are worth borrowing now, or 0; it sets a timer if waiting
-// makes them so.
+// shortage returns how many more slots to borrow now, or 0. If waiting longer would make borrowing worth while, it
+// sets a timer for that time.
 func (dsp *Dispatcher) shortage(now time.Time) uint32 {
 	if len(dsp.peers) == 0 {
 		return 0
 	}
 	jst := dsp.firstWaiting()
-	worth := time.Duration(dsp.style(jst).WaitShare * float64(dsp.estimate(jst)))
-	soon := dsp.drain * worth.Seconds()
+	worth := time.Duration(dsp.policyOf(jst).WaitShare * float64(dsp.estimate(jst)))
+	soon := dsp.completionRate * worth.Seconds()
 	want := float64(dsp.queued) - soon
 	if want < 1 {
 		since := now.Sub(jst.spec().Admitted)
 		if since < worth {
-			dsp.borrowLater(now.Add(worth - since))
+			dsp.scheduleBorrow(now.Add(worth - since))
 			return 0
 		}
 		want = float64(dsp.queued)
 	}
-	return uint32(max(want-float64(dsp.asking), 0))
+	return uint32(max(want-float64(dsp.requestedSlots), 0))
 }
 
-func (dsp *Dispatcher) borrowLater(at time.Time) {
+// scheduleBorrow sets a timerBorrow, unless an earlier one is set.
+func (dsp *Dispatcher) scheduleBorrow(at time.Time) {
 	if !dsp.borrowAt.IsZero() && !at.Before(dsp.borrowAt) {
 		return
 	}
@@ -82,110 +86,115 @@
 	dsp.timers.push(timer{at: at, kind: timerBorrow})
 }
 
-// lender returns the peer believed to have the most free slots among those that may be asked; the
-// own failure domain wins a tie. If there is none it notes when there may be one, so that events
-// meanwhile need not look at every peer.
-func (dsp *Dispatcher) lender(now time.Time) *peer {
+// bestLender returns the peer with the most free slots, by estimate, among those that may be asked; a peer of the
+// own failure domain wins a tie. If no peer may be asked, it returns nil and sets requestAfter, so that events
+// before that time need not examine every peer.
+func (dsp *Dispatcher) bestLender(now time.Time) *peer {
 	var best *peer
 	var most uint32
 	var soonest time.Time
 	for _, per := range dsp.peers {
-		if !dsp.mayAsk(now, per) {
-			if at := dsp.askableAt(per); soonest.IsZero() || at.Before(soonest) {
+		if !dsp.mayRequest(now, per) {
+			if at := dsp.requestAllowedAt(per); soonest.IsZero() || at.Before(soonest) {
 				soonest = at
 			}
 			continue
 		}
-		free := dsp.believedFree(now, per)
+		free := dsp.estimatedFree(now, per)
 		if best == nil || free > most || free == most && per.local && !best.local {
 			best, most = per, free
 		}
 	}
 	if best == nil {
-		dsp.askAfter = soonest
-		dsp.borrowLater(soonest)
+		dsp.requestAfter = soonest
+		dsp.scheduleBorrow(soonest)
 	}
 	return best
 }
 
-func (dsp *Dispatcher) lastLender(now time.Time, last *peer) bool {
+// onlyLender reports whether no peer but last may be asked now.
+func (dsp *Dispatcher) onlyLender(now time.Time, last *peer) bool {
 	for _, per := range dsp.peers {
-		if per != last && dsp.mayAsk(now, per) {
+		if per != last && dsp.mayRequest(now, per) {
 			return false
 		}
 	}
 	return true
 }
 
-func (dsp *Dispatcher) mayAsk(now time.Time, per *peer) bool {
-	if !per.asked.IsZero() {
-		if now.Sub(per.asked) < dsp.cfg.Loan.Timeout {
+// mayRequest reports whether the peer may be asked for slots now. It first closes a request that has timed out.
+func (dsp *Dispatcher) mayRequest(now time.Time, per *peer) bool {
+	if !per.requestedAt.IsZero() {
+		if now.Sub(per.requestedAt) < dsp.cfg.Loan.Timeout {
 			return false
 		}
-		dsp.refusedLoan(now, per)
+		dsp.backOff(now, per)
 	}
 	return !now.Before(per.notBefore)
 }
 
-// askableAt returns when a peer that may not be asked now may be.
-func (dsp *Dispatcher) askableAt(per *peer) time.Time {
-	if !per.asked.IsZero() {
-		return per.asked.Add(dsp.cfg.Loan.Timeout)
+// requestAllowedAt returns from when on a peer that may not be asked now may be asked.
+func (dsp *Dispatcher) requestAllowedAt(per *peer) time.Time {
+	if !per.requestedAt.IsZero() {
+		return per.requestedAt.Add(dsp.cfg.Loan.Timeout)
 	}
 	return per.notBefore
 }
 
-// settle ends the open request to a peer.
-func (dsp *Dispatcher) settle(per *peer) {
-	if !per.asked.IsZero() {
-		per.asked = time.Time{}
-		dsp.asking -= per.want
+// endRequest closes the open request to a peer.
+func (dsp *Dispatcher) endRequest(per *peer) {
+	if !per.requestedAt.IsZero() {
+		per.requestedAt = time.Time{}
+		dsp.requestedSlots -= per.requested
 	}
-	dsp.askAfter = time.Time{}
+	dsp.requestAfter = time.Time{}
 }
 
-func (dsp *Dispatcher) believedFree(now time.Time, per *peer) uint32 {
-	if !per.freeAt.IsZero() && now.Sub(per.freeAt) < freeTrust {
+// estimatedFree returns how many slots the peer probably has free: by its own recent message, else by the
+// average of all grants.
+func (dsp *Dispatcher) estimatedFree(now time.Time, per *peer) uint32 {
+	if !per.freeAt.IsZero() && now.Sub(per.freeAt) < reportedFreeValidity {
 		return per.free
 	}
 	if dsp.stats.GrantsReceived == 0 {
-		return uint32(guessShare * float64(dsp.pool.HomeSlots()))
+		return uint32(defaultFreeShare * float64(dsp.pool.HomeSlots()))
 	}
 	return uint32(dsp.peerFree)
 }
 
-func (dsp *Dispatcher) askLoan(now time.Time, per *peer, num uint32) {
+// requestLoan sends a request for num slots to the peer.
+func (dsp *Dispatcher) requestLoan(now time.Time, per *peer, num uint32) {
 	jst := dsp.firstWaiting()
-	per.asked = now
-	per.want = num
-	dsp.asking += num
-	per.pause = dsp.style(jst).BackOff
+	per.requestedAt = now
+	per.requested = num
+	dsp.requestedSlots += num
+	per.pause = dsp.policyOf(jst).BackOff
 	dsp.act.Borrows = append(dsp.act.Borrows, Borrow{
-		Peer:    per.id,
-		Slots:   num,
-		Free:    dsp.spare(),
-		RunTime: dsp.estimate(jst),
-		NoOffers:    jst.spec().Class.Prefer == job.PreferMessages,
+		Peer:     per.id,
+		Slots:    num,
+		Free:     dsp.lendableNow(),
+		RunTime:  dsp.estimate(jst),
+		NoOffers: jst.spec().Class.Prefer == job.PreferMessages,
 	})
 	dsp.stats.Borrows++
-	dsp.borrowLater(now.Add(dsp.cfg.Loan.Timeout))
+	dsp.scheduleBorrow(now.Add(dsp.cfg.Loan.Timeout))
 }
 
-// refusedLoan backs off from a peer that has nothing to lend or does not answer.
-func (dsp *Dispatcher) refusedLoan(now time.Time, per *peer) {
-	dsp.settle(per)
+// backOff delays the next request to a peer that has nothing to lend or does not answer.
+func (dsp *Dispatcher) backOff(now time.Time, per *peer) {
+	dsp.endRequest(per)
 	per.free, per.freeAt = 0, now
-	per.notBefore = now.Add(dsp.jitter(per.pause << min(per.misses, 1)))
-	per.misses++
+	per.notBefore = now.Add(dsp.jitter(per.pause << min(per.emptyReplies, 1)))
+	per.emptyReplies++
 }
 
-// HandleGrant takes in the answer to a request for slots; an empty one too.
+// HandleGrant processes the answer of a peer to a request for slots, also an empty one, or an offer of a peer.
 func (dsp *Dispatcher) HandleGrant(now time.Time, grt Grant) {
-	dsp.enter(now)
+	dsp.beginEvent(now)
 	dsp.stats.GrantsReceived++
 	per := dsp.peerOf(grt.Peer)
 	if per != nil {
-		dsp.answered(now, per, &grt)
+		dsp.recordGrant(now, per, &grt)
 	}
 	until := now.Add(grt.Duration)
 	for _, lon := range grt.Loans {
@@ -196,28 +205,29 @@
 		dsp.pool.Borrow(srv.acct, string(grt.Peer), lon.Slots, until)
 		dsp.stats.SlotsBorrowed += uint64(lon.Slots)
 		dsp.timers.push(timer{at: until, kind: timerLoan, srv: srv})
-		if !srv.indebted {
-			srv.indebted = true
-			dsp.debts = append(dsp.debts, srv)
+		if !srv.inBorrowed {
+			srv.inBorrowed = true
+			dsp.borrowedServers = append(dsp.borrowedServers, srv)
 		}
 		if !srv.up {
 			dsp.reconnect(now, srv)
 		}
 	}
-	dsp.advance(now)
+	dsp.endEvent(now)
 }
 
-// answered learns from a grant: a peer that gave less than it was asked for has no more.
-func (dsp *Dispatcher) answered(now time.Time, per *peer, grt *Grant) {
+// recordGrant updates the state of the lending peer from a grant: a peer that granted less than was requested has
+// no more.
+func (dsp *Dispatcher) recordGrant(now time.Time, per *peer, grt *Grant) {
 	got := grt.slots()
-	dsp.peerFree += guessWeight * (float64(got+grt.Free) - dsp.peerFree)
+	dsp.peerFree += freeAverageWeight * (float64(got+grt.Free) - dsp.peerFree)
 	if got == 0 {
-		dsp.refusedLoan(now, per)
+		dsp.backOff(now, per)
 		return
 	}
-	partial := got < per.want
-	dsp.settle(per)
-	per.misses = 0
+	partial := got < per.requested
+	dsp.endRequest(per)
+	per.emptyReplies = 0
 	per.notBefore = time.Time{}
 	per.free, per.freeAt = grt.Free, now
 	if partial {
@@ -225,18 +235,18 @@
 	}
 }
 
-// HandlePeerFailure takes in that a peer does not answer. Its loans run to their ends both ways: the
-// slots it borrowed may be in use.
+// HandlePeerFailure records that a peer does not answer. Loans in both directions stay until they expire, since
+// the slots that the peer borrowed may be in use.
 func (dsp *Dispatcher) HandlePeerFailure(now time.Time, pid PeerID) {
-	dsp.enter(now)
+	dsp.beginEvent(now)
 	if per := dsp.peerOf(pid); per != nil {
-		dsp.refusedLoan(now, per)
+		dsp.backOff(now, per)
 	}
-	dsp.advance(now)
+	dsp.endEvent(now)
 }
 
-// giveBackIdle returns borrowed slots that nothing waits for, in one message to each lender: at
-// once if they are many, else after a while.
+// giveBackIdle gives back the unused borrowed slots, in one message to each lender: at once if they are at least
+// ReturnSlots or this instance drains, else after ReturnDelay.
 func (dsp *Dispatcher) giveBackIdle(now time.Time) {
 	unused := dsp.pool.Free() - dsp.pool.HomeFree()
 	if unused == 0 {
@@ -248,29 +258,29 @@
 	}
 	due := dsp.idleSince.Add(dsp.cfg.Loan.ReturnDelay)
 	if unused < dsp.cfg.Loan.ReturnSlots && now.Before(due) && !dsp.leaving {
-		dsp.borrowLater(due)
+		dsp.scheduleBorrow(due)
 		return
 	}
 	dsp.idleSince = time.Time{}
 	var rets []Return
-	kept := dsp.debts[:0]
-	for _, srv := range dsp.debts {
+	kept := dsp.borrowedServers[:0]
+	for _, srv := range dsp.borrowedServers {
 		rets = dsp.giveBack(now, srv, rets)
-		srv.indebted = srv.acct.Borrowed() > 0
-		if srv.indebted {
+		srv.inBorrowed = srv.acct.Borrowed() > 0
+		if srv.inBorrowed {
 			kept = append(kept, srv)
 		}
 	}
-	dsp.debts = kept
+	dsp.borrowedServers = kept
 	for idx := range rets {
-		rets[idx].Free = dsp.spare()
+		rets[idx].Free = dsp.lendableNow()
 	}
 	dsp.stats.Returns += uint64(len(rets))
 	dsp.act.Returns = append(dsp.act.Returns, rets...)
 }
 
-// giveBack collects the unused slots of one backend server by lender. Slots in use are not given
-// back: their loan runs out at its end.
+// giveBack adds the unused borrowed slots of one backend server to rets, by lender. Slots in use are not given
+// back: their loan ends when it expires.
 func (dsp *Dispatcher) giveBack(now time.Time, srv *server, rets []Return) []Return {
 	unused := srv.acct.Borrowed() - min(srv.acct.Borrowed(), srv.acct.InUse())
 	for _, lon := range srv.acct.Loans() {
@@ -287,6 +297,7 @@
 	return rets
 }
 
+// addReturn adds a loan to the return to the peer, which it creates if necessary.
 func addReturn(rets []Return, pid PeerID, lon Loan) []Return {
 	pos := slices.IndexFunc(rets, func(ret Return) bool { return ret.Peer == pid })
 	if pos < 0 {
--- a/internal/request/dispatch/deadline_test.go
+++ b/internal/request/dispatch/deadline_test.go
@@ -10,9 +10,9 @@
 	"chestnutstack/internal/request/job"
 )
 
-// At 36,000 task starts a second an entry instance grew by 20 MB a second until the first jobs'
-// not-after times passed, half a minute later: a job whose tasks had to wait has a timer for that
-// time, and the timer held the job with all of its tasks long after its end.
+// Guards against a memory leak of 20 MB a second at 36,000 task starts a second: the timer of a not-after time
+// referenced the job and its tasks until that time, half a minute after the job's end. Only a job with waiting
+// tasks has the timer.
 func TestDeadlineTimerDoesNotRetainEndedJob(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/internal/request/dispatch/dispatcher.go
+++ b/internal/request/dispatch/dispatcher.go
@@ -12,7 +12,7 @@
 	"chestnutstack/internal/request/slot"
 )
 
-// Dispatcher decides for one entry instance. It is not safe for concurrent use.
+// Dispatcher is the scheduler of one entry instance. It is not safe for concurrent use.
 type Dispatcher struct {
 	cfg Config
 	lim Limits
@@ -22,70 +22,70 @@
 	pool  *slot.Pool
 	queue *order.Queue[*jobState]
 	parks map[parkKey]*park
-	// shapeParks holds the parks that wait for slots rather than limits.
+	// shapeParks holds the parks whose jobs wait for slots rather than for units of limits.
 	shapeParks []*park
 	jobs       map[job.SubmissionID]*jobState
 	classes    map[string]*class
 	partners   map[job.Partner]*partner
 	servers    map[ServerID]*server
-	// listing holds the servers in a stable order, since maps are walked in a random one.
+	// listing holds the values of servers in a fixed order, since the iteration order of a map is random.
 	listing  []*server
 	peers    []*peer
 	detector *fault.Detector
 	timers   timers
-	young    youngFlights
+	recent   recentAttempts
 
-	// queued counts the tasks that only wait for a slot.
+	// queued counts the tasks that wait only for a free slot.
 	queued int
-	// waiting counts these and the parked ones.
+	// waiting counts the queued tasks and the parked ones.
 	waiting int
 	// longInUse counts the slots that long tasks use.
 	longInUse uint32
-	// drain is how many own tasks end a second, by estimate.
-	drain float64
-	// meanRun is the average run time of all tasks.
-	meanRun time.Duration
-	// loanFor is the present bound of the length of loans.
-	loanFor time.Duration
-	// peerFree is how many slots a peer has free on average, by what grants told.
+	// completionRate is the estimated number of this instance's tasks that end per second.
+	completionRate float64
+	// meanRunTime is the moving average of the run times of all tasks.
+	meanRunTime time.Duration
+	// maxLoan is the current upper bound of the duration of a loan.
+	maxLoan time.Duration
+	// peerFree is the moving average of the free slots of a peer, from the grants received.
 	peerFree float64
-	// asking is how many slots peers are asked for at present, and askAfter the earliest time at
-	// which a peer may be asked again if none may be now.
-	asking   uint32
-	askAfter time.Time
-	// owedUntil is how long the last request stands that a peer's need is not met.
-	owedUntil time.Time
-	debts     []*server
-	held      *server
-	heldFor   *jobState
-	borrowAt  time.Time
-	// idleSince is when the last waiting task found a slot.
+	// requestedSlots is how many slots the open requests to peers ask for. requestAfter is the earliest time at
+	// which a peer may be asked again, set when no peer may be asked now.
+	requestedSlots uint32
+	requestAfter   time.Time
+	// unmetUntil is the latest time until which a peer's request for more slots than were idle stays open.
+	unmetUntil      time.Time
+	borrowedServers []*server
+	reserved        *server
+	reservedFor     *jobState
+	borrowAt        time.Time
+	// idleSince is since when borrowed slots have been unused; zero while none are.
 	idleSince time.Time
 	leaving   bool
 	stats     Stats
 }
 
-// New returns a Dispatcher that knows no backend servers and no peers.
+// New returns a Dispatcher without backend servers and peers; SetMembership adds them.
 func New(cfg Config, lim Limits, rnd *rand.Rand) *Dispatcher {
 	return &Dispatcher{
-		cfg:      cfg,
-		lim:      lim,
-		rnd:      rnd,
-		pool:     slot.New(rnd),
-		queue:    order.NewQueue[*jobState](cfg.Ageing),
-		parks:    map[parkKey]*park{},
-		jobs:     map[job.SubmissionID]*jobState{},
-		classes:  map[string]*class{},
-		partners: map[job.Partner]*partner{},
-		servers:  map[ServerID]*server{},
-		detector: fault.New(cfg.Fault),
-		meanRun:  cfg.DefaultRunTime,
-		loanFor:  cfg.Loan.MaxDuration,
+		cfg:         cfg,
+		lim:         lim,
+		rnd:         rnd,
+		pool:        slot.New(rnd),
+		queue:       order.NewQueue[*jobState](cfg.Ageing),
+		parks:       map[parkKey]*park{},
+		jobs:        map[job.SubmissionID]*jobState{},
+		classes:     map[string]*class{},
+		partners:    map[job.Partner]*partner{},
+		servers:     map[ServerID]*server{},
+		detector:    fault.New(cfg.Fault),
+		meanRunTime: cfg.DefaultRunTime,
+		maxLoan:     cfg.Loan.MaxDuration,
 	}
 }
 
-// Actions returns what is to be done since the last Reset. Stops are in the order of the backend
-// servers, so that a wave of cancels becomes one message to each.
+// Actions returns the actions collected since the last Reset. Stops are sorted by backend server, so that the
+// stops of many cancelled jobs fit into one message to each server.
 func (dsp *Dispatcher) Actions() *Actions {
 	if len(dsp.act.Stops) > 1 {
 		slices.SortStableFunc(dsp.act.Stops, func(one, two ServerTask) int {
@@ -95,42 +95,42 @@
 	return &dsp.act
 }
 
-// HandleTick does what is due.
+// HandleTick runs the timers that are due; it is called at the time that NextTick returns.
 func (dsp *Dispatcher) HandleTick(now time.Time) {
-	dsp.enter(now)
-	dsp.advance(now)
+	dsp.beginEvent(now)
+	dsp.endEvent(now)
 }
 
-// NextTick returns when Wake is to be called, or the zero time if nothing is due.
+// NextTick returns when HandleTick is to be called, or the zero time if no timer is set.
 func (dsp *Dispatcher) NextTick() time.Time {
 	var due time.Time
 	if len(dsp.timers) > 0 {
 		due = dsp.timers[0].at
 	}
-	if fst, ok := dsp.young.first(); ok && (due.IsZero() || fst.Before(due)) {
+	if fst, ok := dsp.recent.first(); ok && (due.IsZero() || fst.Before(due)) {
 		due = fst
 	}
 	return due
 }
 
-// Drain starts a planned stop: new jobs are refused, jobs in progress go on to their ends, and
-// loans go back.
+// Drain begins a planned shutdown: new jobs are refused, jobs in progress are finished, and unused borrowed slots
+// are given back.
 func (dsp *Dispatcher) Drain(now time.Time) {
-	dsp.enter(now)
+	dsp.beginEvent(now)
 	dsp.leaving = true
-	dsp.advance(now)
+	dsp.endEvent(now)
 }
 
-// Idle reports whether no job is in progress.
+// Idle reports whether no job is in progress and no task of an ended job is still in flight.
 func (dsp *Dispatcher) Idle() bool { return len(dsp.jobs) == 0 }
 
-// enter does what fell due before an event.
+// beginEvent runs the timers that are due by the time of an event, before the event itself is handled.
 //
-// A process that was paused for longer than a lease wakes up with a view that no longer holds:
-// its tasks were ended, its backend servers may have another home. It shows as a timer that fires
-// that much too late; all sessions are then made anew, which asks for every task before anything
-// is started or renewed.
-func (dsp *Dispatcher) enter(now time.Time) {
+// After a pause of the process that is longer than a lease, the state here is stale: the backend servers have
+// ended the tasks, and may have been assigned to another instance. Such a pause is detected by a timer that fires
+// later than its due time by more than a lease. Then all sessions are opened anew, and each task is queried before
+// anything is started or renewed.
+func (dsp *Dispatcher) beginEvent(now time.Time) {
 	if due := dsp.NextTick(); !due.IsZero() && now.Sub(due) > dsp.cfg.Lease {
 		dsp.stats.Pauses++
 		for _, srv := range dsp.listing {
@@ -140,27 +140,28 @@
 		}
 	}
 	for {
-		fst, ok := dsp.young.first()
+		fst, ok := dsp.recent.first()
 		if !ok || fst.After(now) {
 			break
 		}
-		dsp.grown(now, dsp.young.pop())
+		dsp.recentExpired(now, dsp.recent.pop())
 	}
 	for len(dsp.timers) > 0 && !dsp.timers[0].at.After(now) {
-		dsp.fire(now, dsp.timers.pop())
+		dsp.runTimer(now, dsp.timers.pop())
 	}
 }
 
-// advance draws the conclusions of an event.
-func (dsp *Dispatcher) advance(now time.Time) {
-	dsp.place(now)
-	dsp.borrow(now)
+// endEvent starts tasks and borrows or returns slots as the new state allows, after an event has been handled.
+func (dsp *Dispatcher) endEvent(now time.Time) {
+	dsp.startWaiting(now)
+	dsp.borrowSlots(now)
 }
 
-func (dsp *Dispatcher) fire(now time.Time, tmr timer) {
+// runTimer calls the handler of a timer that is due.
+func (dsp *Dispatcher) runTimer(now time.Time, tmr timer) {
 	switch tmr.kind {
 	case timerCheck:
-		dsp.checkDue(now, tmr.flt, tmr.at)
+		dsp.checkDue(now, tmr.att, tmr.at)
 	case timerRetry:
 		dsp.retryDue(tmr.jst, uint32(tmr.num))
 	case timerDeadline:
@@ -170,12 +171,12 @@
 		dsp.unparkOne(tmr.jst.limit)
 	case timerReconnect:
 		dsp.reconnectDue(now, tmr.srv)
-	case timerGiveUp:
-		dsp.giveUpDue(now, tmr.srv, tmr.num)
+	case timerUnreachable:
+		dsp.unreachableDue(now, tmr.srv, tmr.num)
 	case timerLoan:
 		dsp.pool.Expire(tmr.srv.acct, now)
-	case timerTrust:
-		dsp.trustDue(now, tmr.srv)
+	case timerReportExpiry:
+		dsp.reportExpired(now, tmr.srv)
 	case timerProbe:
 		dsp.probeDue(now, tmr.srv)
 	case timerParked:
@@ -189,6 +190,7 @@
 	}
 }
 
+// classOf returns the state of a catalogue entry and creates it if necessary.
 func (dsp *Dispatcher) classOf(name string) *class {
 	cls := dsp.classes[name]
 	if cls == nil {
@@ -198,6 +200,7 @@
 	return cls
 }
 
+// partnerOf returns the state of a partner and creates it, with a full retry budget, if necessary.
 func (dsp *Dispatcher) partnerOf(name job.Partner) *partner {
 	ptn := dsp.partners[name]
 	if ptn == nil {
@@ -207,7 +210,7 @@
 	return ptn
 }
 
-// estimate returns the expected run time of a job's task.
+// estimate returns the expected run time of a task of the job.
 func (dsp *Dispatcher) estimate(jst *jobState) time.Duration {
 	fallback := jst.spec().Class.RunTime
 	if fallback <= 0 {
@@ -216,16 +219,16 @@
 	return jst.cls.run.Estimate(jst.declared, fallback)
 }
 
-// find returns the flight that a backend server's word is about, or nil if the word is late,
-// doubled or crossed.
-func (dsp *Dispatcher) find(srv *server, tid job.TaskID) *flight {
+// attemptOf returns the attempt that a message from the backend server refers to, or nil if the message is late, a
+// duplicate, or about an attempt that a newer one has replaced.
+func (dsp *Dispatcher) attemptOf(srv *server, tid job.TaskID) *attempt {
 	jst := dsp.jobs[tid.Submission()]
-	if jst == nil || int(tid.Index()) >= len(jst.flights) {
+	if jst == nil || int(tid.Index()) >= len(jst.attempts) {
 		return nil
 	}
-	flt := &jst.flights[tid.Index()]
-	if flt.srv != srv || !flt.task().Current(tid) {
+	att := &jst.attempts[tid.Index()]
+	if att.srv != srv || !att.task().Current(tid) {
 		return nil
 	}
-	return flt
+	return att
 }
--- a/internal/request/dispatch/guess_test.go
+++ b/internal/request/dispatch/guess_test.go
@@ -6,27 +6,26 @@
 	"time"
 )
 
-// lateGuess is the strongest policy without homes that was tried: every entry keeps its own queue,
-// shortest remaining job first, and sends a task only to a backend server that it believes to have
-// a free slot. What it believes comes with the answers and refusals it receives; a server that it
-// has not heard of for doubt is believed to have one free slot.
+// lateGuess simulates the strongest policy without homes: each entry has its own queue, shortest remaining job
+// first, and sends a task only to a backend server that probably has a free slot. Estimates of free slots come
+// from answers and refusals; a server not heard of for the time validity counts as having one free slot.
 type lateGuess struct {
 	*sim
-	out     *outcome
-	shp     shape
-	free    []int
-	entries []*guessEntry
-	doubt   time.Duration
+	out      *outcome
+	shp      shape
+	free     []int
+	entries  []*guessEntry
+	validity time.Duration
 }
 
 type guessEntry struct {
-	pol      *lateGuess
-	num      int
-	queue    idealQueue
-	retries  []guessTask
-	believed []int
-	heard    []time.Time
-	waking   bool
+	pol            *lateGuess
+	num            int
+	queue          idealQueue
+	retries        []guessTask
+	estimate       []int
+	heard          []time.Time
+	retryScheduled bool
 }
 
 type guessTask struct {
@@ -34,16 +33,16 @@
 	idx int
 }
 
-func runLateGuess(name string, shp shape, trf traffic, wkl *workload, seed uint64, doubt time.Duration) *outcome {
+func runLateGuess(name string, shp shape, trf traffic, wkl *workload, seed uint64, validity time.Duration) *outcome {
 	pol := &lateGuess{
-		sim: &sim{now: simStart, rnd: rand.New(rand.NewPCG(seed, 6))}, shp: shp, doubt: doubt,
+		sim: &sim{now: simStart, rnd: rand.New(rand.NewPCG(seed, 6))}, shp: shp, validity: validity,
 		out: &outcome{policy: name, wasted: map[string]int{}}, free: make([]int, shp.servers),
 	}
 	for num := range shp.entries {
-		ent := &guessEntry{pol: pol, num: num, believed: make([]int, shp.servers), heard: make([]time.Time, shp.servers)}
+		ent := &guessEntry{pol: pol, num: num, estimate: make([]int, shp.servers), heard: make([]time.Time, shp.servers)}
 		for idx := range pol.free {
 			pol.free[idx] = int(shp.slots)
-			ent.believed[idx] = int(shp.slots)
+			ent.estimate[idx] = int(shp.slots)
 			ent.heard[idx] = simStart
 		}
 		pol.entries = append(pol.entries, ent)
@@ -52,7 +51,7 @@
 		pol.at(sjb.due, func() {
 			ent := pol.entries[sjb.entry]
 			heap.Push(&ent.queue, newIdealJob(sjb))
-			ent.place()
+			ent.sendWaiting()
 		})
 	}
 	pol.run(simStart.Add(trf.duration + 60*time.Second))
@@ -60,26 +59,26 @@
 	return pol.out
 }
 
-func (ent *guessEntry) place() {
+func (ent *guessEntry) sendWaiting() {
 	for len(ent.retries) > 0 || ent.queue.Len() > 0 {
 		srv := ent.pick()
 		if srv < 0 {
-			ent.wake()
+			ent.scheduleRetry()
 			return
 		}
 		ent.send(ent.next(), srv)
 	}
 }
 
-// wake tries again once some belief has grown old.
-func (ent *guessEntry) wake() {
-	if ent.waking {
+// scheduleRetry retries after a tenth of validity, when some estimate may have expired.
+func (ent *guessEntry) scheduleRetry() {
+	if ent.retryScheduled {
 		return
 	}
-	ent.waking = true
-	ent.pol.after(ent.pol.doubt/10, func() {
-		ent.waking = false
-		ent.place()
+	ent.retryScheduled = true
+	ent.pol.after(ent.pol.validity/10, func() {
+		ent.retryScheduled = false
+		ent.sendWaiting()
 	})
 }
 
@@ -103,15 +102,15 @@
 
 func (ent *guessEntry) pick() int {
 	best, most := -1, 0
-	off := ent.pol.rnd.IntN(len(ent.believed))
-	for num := range ent.believed {
-		idx := (off + num) % len(ent.believed)
-		bel := ent.believed[idx]
-		if bel <= 0 && ent.pol.now.Sub(ent.heard[idx]) > ent.pol.doubt {
-			bel = 1
+	off := ent.pol.rnd.IntN(len(ent.estimate))
+	for num := range ent.estimate {
+		idx := (off + num) % len(ent.estimate)
+		est := ent.estimate[idx]
+		if est <= 0 && ent.pol.now.Sub(ent.heard[idx]) > ent.pol.validity {
+			est = 1
 		}
-		if bel > most {
-			best, most = idx, bel
+		if est > most {
+			best, most = idx, est
 		}
 	}
 	return best
@@ -123,16 +122,16 @@
 	if srv%pol.shp.domains == ent.num%pol.shp.domains {
 		lat = pol.shp.near
 	}
-	ent.believed[srv]--
+	ent.estimate[srv]--
 	ent.heard[srv] = pol.now
 	pol.after(lat, func() {
 		if pol.free[srv] == 0 {
 			pol.out.wasted["refusal"] += 2
 			pol.after(lat, func() {
-				ent.believed[srv] = 0
+				ent.estimate[srv] = 0
 				ent.heard[srv] = pol.now
 				ent.retries = append(ent.retries, tsk)
-				ent.place()
+				ent.sendWaiting()
 			})
 			return
 		}
@@ -146,12 +145,12 @@
 }
 
 func (ent *guessEntry) answered(tsk guessTask, srv, seen int) {
-	ent.believed[srv] = seen
+	ent.estimate[srv] = seen
 	ent.heard[srv] = ent.pol.now
 	ent.pol.out.addTask(tsk.ijb.sjb, tsk.idx, ent.pol.now)
 	tsk.ijb.done++
 	if tsk.ijb.done == len(tsk.ijb.order) {
 		ent.pol.out.add(tsk.ijb.sjb, ent.pol.now)
 	}
-	ent.place()
+	ent.sendWaiting()
 }
--- a/internal/request/dispatch/late.go
+++ b/internal/request/dispatch/late.go
@@ -2,101 +2,104 @@
 
 import "time"
 
-// grown takes over a flight that outlived Config.Patience.
-func (dsp *Dispatcher) grown(now time.Time, flt *flight) { dsp.check(now, flt) }
+// recentExpired checks an attempt that has reached the age of Config.AnswerTimeout.
+func (dsp *Dispatcher) recentExpired(now time.Time, att *attempt) { dsp.checkAttempt(now, att) }
 
-// checkDue drops timers that a newer one replaced.
-func (dsp *Dispatcher) checkDue(now time.Time, flt *flight, at time.Time) {
-	if flt.srv != nil && flt.checkAt.Equal(at) {
-		dsp.check(now, flt)
+// checkDue checks an attempt, unless a later timer replaced the one that fired.
+func (dsp *Dispatcher) checkDue(now time.Time, att *attempt, at time.Time) {
+	if att.srv != nil && att.checkAt.Equal(at) {
+		dsp.checkAttempt(now, att)
 	}
 }
 
-// check does what is due for a flight that takes long: asks when the answer is late, moves the end
-// of its lease, and makes a fresh connection when an ask stays without a reply.
-func (dsp *Dispatcher) check(now time.Time, flt *flight) {
-	srv := flt.srv
+// checkAttempt queries an attempt whose answer is late, renews its lease, and opens a new connection if a query
+// stays unanswered.
+func (dsp *Dispatcher) checkAttempt(now time.Time, att *attempt) {
+	srv := att.srv
 	if !srv.up {
-		// The next session asks; the timer of the lost one gives up.
+		// The next session queries the task; timerUnreachable loses it if there is none.
 		return
 	}
-	if !flt.askSince.IsZero() && now.Sub(flt.askSince) >= dsp.cfg.UnreachableTimeout {
-		dsp.lose(now, flt, "backend-server-silent")
+	if !att.firstQueriedAt.IsZero() && now.Sub(att.firstQueriedAt) >= dsp.cfg.UnreachableTimeout {
+		dsp.loseTask(now, att, "backend-server-silent")
 		return
 	}
-	if !flt.asked.IsZero() && now.Sub(flt.asked) >= dsp.cfg.QueryTimeout {
+	if !att.queriedAt.IsZero() && now.Sub(att.queriedAt) >= dsp.cfg.QueryTimeout {
 		dsp.endSession(now, srv)
 		return
 	}
-	if flt.asked.IsZero() && !now.Before(flt.lateAt) {
-		if !dsp.alive(now, flt) {
-			dsp.ask(now, flt)
+	if att.queriedAt.IsZero() && !now.Before(att.lateAt) {
+		if !dsp.heardRecently(now, att) {
+			dsp.query(now, att)
 			return
 		}
-		flt.lateAt = srv.heard.Add(dsp.cfg.AnswerTimeout)
+		att.lateAt = srv.heard.Add(dsp.cfg.AnswerTimeout)
 	}
-	dsp.renew(now, flt)
-	dsp.watch(now, flt)
+	dsp.renew(now, att)
+	dsp.scheduleCheck(now, att)
 }
 
-// alive reports whether the backend server was heard a moment ago on the session that the answer has to
-// come by, so that the task is slow and not lost: a connection that forgets one task's answer and
-// delivers others' does not exist over TCP. It counts only up to half of a lease, in case the backend
-// server itself has lost the task.
-func (dsp *Dispatcher) alive(now time.Time, flt *flight) bool {
-	if now.Sub(flt.task().SentAt()) >= dsp.cfg.Lease/2 {
+// heardRecently reports whether the backend server was heard since the start and within AnswerTimeout, so that the
+// task is slow rather than lost: TCP can't lose one task's answer on a session and deliver later messages of the
+// same session. It holds only up to half of a lease after the start, in case the backend server itself has lost
+// the task.
+func (dsp *Dispatcher) heardRecently(now time.Time, att *attempt) bool {
+	if now.Sub(att.task().SentAt()) >= dsp.cfg.Lease/2 {
 		return false
 	}
-	heard := flt.srv.heard
-	return heard.After(flt.task().SentAt()) && now.Sub(heard) < dsp.cfg.AnswerTimeout
+	heard := att.srv.heard
+	return heard.After(att.task().SentAt()) && now.Sub(heard) < dsp.cfg.AnswerTimeout
 }
 
-// ask asks what became of a task whose answer is late.
-func (dsp *Dispatcher) ask(now time.Time, flt *flight) {
-	if flt.srv.up {
-		dsp.askOn(now, flt)
+// query asks the backend server for the status of a task whose answer is late, if the session is up.
+func (dsp *Dispatcher) query(now time.Time, att *attempt) {
+	if att.srv.up {
+		dsp.sendQuery(now, att)
 	}
 }
 
-func (dsp *Dispatcher) askOn(now time.Time, flt *flight) {
-	if !flt.task().MarkQuerying() {
+// sendQuery queries the status of the task, on a session that is up.
+func (dsp *Dispatcher) sendQuery(now time.Time, att *attempt) {
+	if !att.task().MarkQuerying() {
 		return
 	}
-	dsp.act.Queries = append(dsp.act.Queries, ServerTask{Server: flt.srv.id, Task: flt.task().ID()})
+	dsp.act.Queries = append(dsp.act.Queries, ServerTask{Server: att.srv.id, Task: att.task().ID()})
 	dsp.stats.Queries++
-	flt.asked = now
-	if flt.askSince.IsZero() {
-		flt.askSince = now
+	att.queriedAt = now
+	if att.firstQueriedAt.IsZero() {
+		att.firstQueriedAt = now
 	}
-	dsp.watch(now, flt)
+	dsp.scheduleCheck(now, att)
 }
 
-// renew sends one message for all tasks on a backend server, and none for tasks that end within
-// half a lease.
-func (dsp *Dispatcher) renew(now time.Time, flt *flight) {
-	if now.Before(dsp.renewAt(flt)) {
+// renew renews the leases of all tasks on the backend server with one message, if half a lease has passed since
+// the start and the last renewal. So a task that ends within half a lease costs no renewal.
+func (dsp *Dispatcher) renew(now time.Time, att *attempt) {
+	if now.Before(dsp.renewAt(att)) {
 		return
 	}
-	srv := flt.srv
+	srv := att.srv
 	srv.renewed = now
 	dsp.act.Renewals = append(dsp.act.Renewals, srv.id)
 	dsp.stats.Renewals++
 }
 
-func (dsp *Dispatcher) renewAt(flt *flight) time.Time {
-	last := flt.task().SentAt()
-	if flt.srv.renewed.After(last) {
-		last = flt.srv.renewed
+// renewAt returns when the lease of the attempt is to be renewed: half a lease after its start or the last
+// renewal.
+func (dsp *Dispatcher) renewAt(att *attempt) time.Time {
+	last := att.task().SentAt()
+	if att.srv.renewed.After(last) {
+		last = att.srv.renewed
 	}
 	return last.Add(dsp.cfg.Lease / 2)
 }
 
-// watch sets the timer for the next check of a flight.
-func (dsp *Dispatcher) watch(now time.Time, flt *flight) {
-	due := dsp.renewAt(flt)
-	next := flt.lateAt
-	if !flt.asked.IsZero() {
-		next = flt.asked.Add(dsp.cfg.QueryTimeout)
+// scheduleCheck sets the timer for the next check of an attempt.
+func (dsp *Dispatcher) scheduleCheck(now time.Time, att *attempt) {
+	due := dsp.renewAt(att)
+	next := att.lateAt
+	if !att.queriedAt.IsZero() {
+		next = att.queriedAt.Add(dsp.cfg.QueryTimeout)
 	}
 	if next.Before(due) {
 		due = next
@@ -104,6 +107,6 @@
 	if !due.After(now) {
 		due = now.Add(time.Millisecond)
 	}
-	flt.checkAt = due
-	dsp.timers.push(timer{at: due, kind: timerCheck, flt: flt})
+	att.checkAt = due
+	dsp.timers.push(timer{at: due, kind: timerCheck, att: att})
 }
--- a/internal/request/dispatch/lend.go
+++ b/internal/request/dispatch/lend.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// loanGrowth and loanCut adapt the length of loans: longer while lending does no harm, and
-	// shorter at once when own tasks had to wait for slots that were lent.
+	// loanGrowth and loanShrink adapt the maximum duration of loans: each grant lengthens it, and tasks of this
+	// instance that wait while slots are lent shorten it.
 	loanGrowth = 1.25
-	loanCut    = 0.5
-	// minLoan is the length below which loans are not cut.
-	minLoan = 400 * time.Millisecond
+	loanShrink = 0.5
+	// minMaxLoan is the lower bound of the maximum duration of loans.
+	minMaxLoan = 400 * time.Millisecond
 )
 
-// HandleBorrow answers a peer that asks for slots. Only idle slots of own backend servers are lent,
-// less a reserve for own arrivals.
+// HandleBorrow answers a request of a peer for slots; the grant is empty if none can be lent. Only idle slots of
+// the backend servers assigned to this instance are lent, less a reserve for own arrivals.
 func (dsp *Dispatcher) HandleBorrow(now time.Time, bor Borrow) Grant {
-	dsp.enter(now)
+	dsp.beginEvent(now)
 	dsp.stats.BorrowsReceived++
 	grt := Grant{Peer: dsp.cfg.Self}
 	if per := dsp.peerOf(bor.Peer); per != nil {
 		per.free, per.freeAt = bor.Free, now
 		per.runTime = bor.RunTime
-		per.style = &dsp.cfg.Loan.PreferResponse
+		per.policy = &dsp.cfg.Loan.PreferResponse
 		if bor.NoOffers {
-			per.style = &dsp.cfg.Loan.PreferMessages
+			per.policy = &dsp.cfg.Loan.PreferMessages
 		}
 		dsp.lend(now, per, bor.Slots, &grt)
-		per.owed = bor.Slots - grt.slots()
+		per.unmet = bor.Slots - grt.slots()
 		if bor.NoOffers {
-			per.owed = 0
+			per.unmet = 0
 		}
-		per.owedUntil = now.Add(per.style.RequestValidity)
-		if per.owed > 0 {
-			dsp.owedUntil = later(dsp.owedUntil, per.owedUntil)
+		per.unmetUntil = now.Add(per.policy.RequestValidity)
+		if per.unmet > 0 {
+			dsp.unmetUntil = later(dsp.unmetUntil, per.unmetUntil)
 		}
 	}
-	dsp.advance(now)
+	dsp.endEvent(now)
 	return grt
 }
 
+// slots returns the sum of the slots of all loans of the grant.
 func (grt *Grant) slots() uint32 {
 	var tot uint32
 	for _, lon := range grt.Loans {
@@ -51,18 +52,21 @@
 	return tot
 }
 
+// lend fills the grant with up to want slots for the peer, as many as can be lent now.
 func (dsp *Dispatcher) lend(now time.Time, per *peer, want uint32, grt *Grant) {
-	num := min(want, dsp.spare())
-	grt.Duration = dsp.lengthOf(per, want, num)
+	num := min(want, dsp.lendableNow())
+	grt.Duration = dsp.loanDuration(per, want, num)
 	if num > 0 {
 		dsp.lendSlots(now, per, num, grt)
 	}
-	grt.Free = dsp.spare()
+	grt.Free = dsp.lendableNow()
 }
 
+// lendSlots lends num slots to the peer for the duration in the grant, and lengthens the maximum duration of
+// later loans.
 func (dsp *Dispatcher) lendSlots(now time.Time, per *peer, num uint32, grt *Grant) {
 	lon := slot.Loan{Peer: string(per.id), Slots: num, Until: now.Add(grt.Duration + dsp.cfg.Loan.Slack)}
-	// A task that starts at the very end of the loan still takes its run time.
+	// A task that starts at the very end of the loan uses the slot for its run time after that.
 	lon.DrainedAt = lon.Until.Add(dsp.runTimeOf(per))
 	dsp.pool.Lend(lon, func(acc *slot.Server, slots uint32) {
 		grt.Loans = append(grt.Loans, Loan{Server: ServerID(acc.ID()), Slots: slots})
@@ -70,49 +74,53 @@
 		dsp.timers.push(timer{at: lon.DrainedAt, kind: timerLoan, srv: dsp.servers[ServerID(acc.ID())]})
 	})
 	dsp.stats.Grants++
-	dsp.loanFor = min(time.Duration(loanGrowth*float64(dsp.loanFor)), dsp.cfg.Loan.MaxDuration)
+	dsp.maxLoan = min(time.Duration(loanGrowth*float64(dsp.maxLoan)), dsp.cfg.Loan.MaxDuration)
 }
 
+// runTimeOf returns the run time of the peer's waiting tasks, or the average of all tasks here if the peer
+// didn't tell.
 func (dsp *Dispatcher) runTimeOf(per *peer) time.Duration {
 	if per.runTime > 0 {
 		return per.runTime
 	}
-	return dsp.meanRun
+	return dsp.meanRunTime
 }
 
-// lengthOf returns how long a loan of num slots is to run when want tasks wait for them: as many
-// rounds as it takes, so that a burst that fits into one round ends its loan by itself, and one
-// that does not needs no further request.
-func (dsp *Dispatcher) lengthOf(per *peer, want, num uint32) time.Duration {
+// loanDuration returns the duration of a loan of num slots for want waiting tasks: the time in which all of them
+// can run on these slots one after another. So the loan of a burst that fits at once expires by itself, and a
+// larger burst needs no further request.
+func (dsp *Dispatcher) loanDuration(per *peer, want, num uint32) time.Duration {
 	rounds := float64(want)/float64(max(num, 1)) - 1
 	need := time.Duration(rounds * float64(dsp.runTimeOf(per)))
-	return min(max(need, per.style.MinDuration), dsp.loanFor)
+	return min(max(need, per.policy.MinDuration), dsp.maxLoan)
 }
 
-// offer lends slots that came free to the peers whose requests still stand, the largest first.
-func (dsp *Dispatcher) offer(now time.Time) {
-	if !now.Before(dsp.owedUntil) {
+// offerSlots lends slots that came free to the peers whose requests are still open, the largest unmet request
+// first.
+func (dsp *Dispatcher) offerSlots(now time.Time) {
+	if !now.Before(dsp.unmetUntil) {
 		return
 	}
-	for spare := dsp.spare(); spare > 0; spare = dsp.spare() {
-		per := dsp.creditor(now)
+	for spare := dsp.lendableNow(); spare > 0; spare = dsp.lendableNow() {
+		per := dsp.largestUnmet(now)
 		if per == nil {
 			return
 		}
-		due := per.offered.Add(dsp.cfg.Loan.OfferDelay)
+		due := per.offeredAt.Add(dsp.cfg.Loan.OfferDelay)
 		if spare < dsp.cfg.Loan.OfferSlots && now.Before(due) {
-			dsp.borrowLater(due)
+			dsp.scheduleBorrow(due)
 			return
 		}
 		off := Offer{To: per.id, Grant: Grant{Peer: dsp.cfg.Self}}
-		dsp.lend(now, per, per.owed, &off.Grant)
-		per.owed -= off.Grant.slots()
-		per.offered = now
+		dsp.lend(now, per, per.unmet, &off.Grant)
+		per.unmet -= off.Grant.slots()
+		per.offeredAt = now
 		dsp.act.Offers = append(dsp.act.Offers, off)
 		dsp.stats.Offers++
 	}
 }
 
+// later returns the later of two times.
 func later(one, two time.Time) time.Time {
 	if one.After(two) {
 		return one
@@ -120,18 +128,20 @@
 	return two
 }
 
-func (dsp *Dispatcher) creditor(now time.Time) *peer {
+// largestUnmet returns the peer with the largest unmet request that is still open, or nil.
+func (dsp *Dispatcher) largestUnmet(now time.Time) *peer {
 	var best *peer
 	for _, per := range dsp.peers {
-		if per.owed > 0 && now.Before(per.owedUntil) && (best == nil || per.owed > best.owed) {
+		if per.unmet > 0 && now.Before(per.unmetUntil) && (best == nil || per.unmet > best.unmet) {
 			best = per
 		}
 	}
 	return best
 }
 
-// spare returns the idle own slots beyond the reserve.
-func (dsp *Dispatcher) spare() uint32 {
+// lendableNow returns how many idle slots of this instance's own backend servers can be lent, beyond the reserve;
+// 0 while own tasks wait or this instance drains.
+func (dsp *Dispatcher) lendableNow() uint32 {
 	if dsp.queued > 0 || dsp.leaving {
 		return 0
 	}
@@ -140,12 +150,12 @@
 	if reserve >= free {
 		return 0
 	}
-	return min(free-reserve, dsp.lendable())
+	return min(free-reserve, dsp.lendLimitLeft())
 }
 
-// lendable returns how many more slots may be lent at all. An entry instance without slots of its
-// own would make its next short job wait for as long as somebody else's tasks run.
-func (dsp *Dispatcher) lendable() uint32 {
+// lendLimitLeft returns how many more slots may be lent until only KeepShare of the own slots is left. The next
+// short job of an instance without own slots would have to wait for tasks of other instances to end.
+func (dsp *Dispatcher) lendLimitLeft() uint32 {
 	most := uint32((1 - dsp.cfg.Loan.KeepShare) * float64(dsp.pool.HomeSlots()))
 	if dsp.pool.Lent() >= most {
 		return 0
@@ -153,25 +163,26 @@
 	return most - dsp.pool.Lent()
 }
 
-// regret shortens loans when own tasks wait while slots are lent.
-func (dsp *Dispatcher) regret() {
+// shortenLoans reduces the maximum duration of loans; it is called when own tasks wait, and has an effect while
+// slots are lent.
+func (dsp *Dispatcher) shortenLoans() {
 	if dsp.pool.Lent() > 0 {
-		dsp.loanFor = max(time.Duration(loanCut*float64(dsp.loanFor)), minLoan)
+		dsp.maxLoan = max(time.Duration(loanShrink*float64(dsp.maxLoan)), minMaxLoan)
 	}
 }
 
-// HandleReturn takes back slots from a peer before the loan ran out.
+// HandleReturn takes back lent slots that a peer returns before the loan expires.
 func (dsp *Dispatcher) HandleReturn(now time.Time, ret Return) {
-	dsp.enter(now)
+	dsp.beginEvent(now)
 	dsp.stats.ReturnsReceived++
 	if per := dsp.peerOf(ret.Peer); per != nil {
 		per.free, per.freeAt = ret.Free, now
-		per.owed = 0
+		per.unmet = 0
 	}
 	for _, lon := range ret.Loans {
 		if srv := dsp.servers[lon.Server]; srv != nil {
 			dsp.pool.TakeBack(srv.acct, string(ret.Peer), lon.Slots)
 		}
 	}
-	dsp.advance(now)
+	dsp.endEvent(now)
 }
--- a/internal/request/dispatch/measure_test.go
+++ b/internal/request/dispatch/measure_test.go
@@ -55,7 +55,7 @@
 			fmt.Println(out.row())
 			fmt.Println(runLateGuess("own guess, late binding", shp, trf, wkl, *measureSeed, 500*time.Millisecond).row())
 			if load > 1 {
-				// Without a queue of their own the simple policies send hundreds of messages a task.
+				// Under overload the policies without a queue send hundreds of messages for each task.
 				continue
 			}
 			fmt.Println(runGuess("random, retry on refusal", randomServer, shp, trf, wkl, *measureSeed).row())
@@ -65,13 +65,14 @@
 	}
 }
 
-// A quiet pool: every job must come back whole, each task started once, and few messages wasted.
+// At a load of 60 % without faults every job must be answered in full, and no task may start twice, fail or be
+// refused.
 func TestLightLoadCompletesEveryJob(tst *testing.T) {
 	iss := is.New(tst)
 	trf := traffic{load: 0.6, duration: 3 * time.Second, misdeclared: 1}
 	wkl := newWorkload(riga, trf, 1)
 	out := runDispatchers(riga, dispatch.DefaultConfig(), trf, wkl, 1, nil)
 	iss.Equal(len(out.jobs), len(wkl.jobs)) // every job has a whole answer
-	iss.Equal(out.doubles, 0)               // no task started twice
+	iss.Equal(out.doubleStarts, 0)          // no task started twice
 	iss.Equal(out.failed+out.refused+out.left, 0)
 }
--- a/internal/request/dispatch/members.go
+++ b/internal/request/dispatch/members.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// SetMembership replaces the view of the pool after a change of membership. What is in flight on a
-// backend server that is not in the view any more goes on to its end.
+// SetMembership replaces the lists of backend servers, their homes and the peers. Tasks in flight on a backend
+// server that is no longer listed are finished.
 func (dsp *Dispatcher) SetMembership(now time.Time, servers []Server, homes []Home, peers []Peer) {
-	dsp.enter(now)
+	dsp.beginEvent(now)
 	own := make(map[ServerID]bool, len(homes))
 	for _, hom := range homes {
 		own[hom.Server] = hom.Peer == dsp.cfg.Self
@@ -17,20 +17,21 @@
 		srv.listed = false
 	}
 	for _, inf := range servers {
-		dsp.list(inf, own[inf.ID])
+		dsp.updateServer(inf, own[inf.ID])
 	}
-	dsp.sweep()
+	dsp.removeUnlisted()
 	dsp.setPeers(peers)
 	dsp.detector.SetServerCount(len(dsp.listing))
 	for _, srv := range dsp.listing {
-		if !srv.up && !srv.reconnecting && dsp.wanted(srv) {
+		if !srv.up && !srv.reconnecting && dsp.sessionNeeded(srv) {
 			dsp.reconnect(now, srv)
 		}
 	}
-	dsp.advance(now)
+	dsp.endEvent(now)
 }
 
-func (dsp *Dispatcher) list(inf Server, home bool) {
+// updateServer adds a backend server from the list or updates its description.
+func (dsp *Dispatcher) updateServer(inf Server, home bool) {
 	srv := dsp.servers[inf.ID]
 	if srv == nil {
 		srv = &server{id: inf.ID}
@@ -38,7 +39,7 @@
 		dsp.listing = append(dsp.listing, srv)
 	}
 	if srv.up && srv.info.Slots > 0 {
-		// The server's own word on its slots is newer than the list, which lags.
+		// The slots that the server reported are more recent than those of the list, which lags behind.
 		inf.Slots = srv.info.Slots
 	}
 	srv.info = inf
@@ -46,17 +47,17 @@
 	dsp.putServer(srv, home)
 }
 
-// sweep forgets the unlisted servers that have nothing in flight.
-func (dsp *Dispatcher) sweep() {
+// removeUnlisted removes the backend servers that are not listed and have no task in flight.
+func (dsp *Dispatcher) removeUnlisted() {
 	kept := dsp.listing[:0]
 	for _, srv := range dsp.listing {
-		if srv.listed || srv.flights != nil {
+		if srv.listed || srv.attempts != nil {
 			dsp.setOpen(srv)
 			kept = append(kept, srv)
 			continue
 		}
-		if dsp.held == srv {
-			dsp.held, dsp.heldFor = nil, nil
+		if dsp.reserved == srv {
+			dsp.reserved, dsp.reservedFor = nil, nil
 		}
 		dsp.detector.Remove(&srv.fault)
 		dsp.pool.Remove(srv.acct)
@@ -66,8 +67,10 @@
 	dsp.listing = kept
 }
 
+// setPeers replaces the peers and keeps the state of those that are still listed. Requests to the others are
+// closed.
 func (dsp *Dispatcher) setPeers(peers []Peer) {
-	dsp.askAfter = time.Time{}
+	dsp.requestAfter = time.Time{}
 	var next []*peer
 	for _, inf := range peers {
 		if inf.ID == dsp.cfg.Self {
@@ -82,12 +85,13 @@
 	}
 	for _, per := range dsp.peers {
 		if !slices.Contains(next, per) {
-			dsp.settle(per)
+			dsp.endRequest(per)
 		}
 	}
 	dsp.peers = next
 }
 
+// peerOf returns the state of the peer, or nil if it is not listed.
 func (dsp *Dispatcher) peerOf(pid PeerID) *peer {
 	for _, per := range dsp.peers {
 		if per.id == pid {
--- a/internal/request/dispatch/park.go
+++ b/internal/request/dispatch/park.go
@@ -9,13 +9,13 @@
 type parkReason uint8
 
 const (
-	// parkLimit: a limit of the catalogue entry or the team has no unit free.
+	// parkLimit: a limit of the catalogue entry or the team has no unit left.
 	parkLimit parkReason = iota
 	// parkWidth: no backend server has enough slots free at once.
 	parkWidth
-	// parkLong: long tasks have their share of the slots.
+	// parkLong: long tasks have used up their share of the slots.
 	parkLong
-	// parkShare: the partner has all slots but those that are kept for the other's next arrival.
+	// parkShare: the partner has used up its share of the slots while another partner is active.
 	parkShare
 )
 
@@ -25,26 +25,27 @@
 	team   string
 }
 
-// park holds jobs that can't be placed though slots are free, so that they don't hold up others.
+// park holds the jobs that can't start a task for one reason though slots are free, so that they don't block the
+// queue.
 type park struct {
-	key   parkKey
-	queue *order.Queue[*jobState]
-	timed bool
-	// pause is the time to the next try; it doubles until a job gets past the limit.
+	key      parkKey
+	queue    *order.Queue[*jobState]
+	timerSet bool
+	// pause is the delay before the next try; it doubles until a job gets the units of its limit.
 	pause time.Duration
-	// users counts the jobs that may park here for a limit.
+	// users counts the jobs for which this is the park of their limit.
 	users int
 }
 
-// setPending replaces the waiting tasks of a job and keeps the counts of them right.
+// setPending replaces the list of waiting tasks of a job and adjusts the counts of waiting tasks.
 func (dsp *Dispatcher) setPending(jst *jobState, pending []uint32) {
 	jst.pending = pending
-	dsp.count(jst, len(pending)-jst.counted)
+	dsp.adjustWaiting(jst, len(pending)-jst.countedWaiting)
 }
 
-// count corrects the totals of waiting tasks.
-func (dsp *Dispatcher) count(jst *jobState, dif int) {
-	jst.counted += dif
+// adjustWaiting adds dif to the counts of waiting tasks that the job takes part in.
+func (dsp *Dispatcher) adjustWaiting(jst *jobState, dif int) {
+	jst.countedWaiting += dif
 	jst.cls.waiting += dif
 	dsp.waiting += dif
 	jst.ptn.backlog += time.Duration(dif) * jst.cost
@@ -53,12 +54,13 @@
 	}
 }
 
-// waitsForSlot reports whether one more slot, wherever, would let the job go on.
+// waitsForSlot reports whether a free slot on any backend server would let a task of the job start.
 func (jst *jobState) waitsForSlot() bool {
 	return jst.item.Queued() && (jst.park == nil || jst.park.key.reason == parkShare)
 }
 
-// firstWaiting returns a job that waits for a slot, the first in line if the queue has one.
+// firstWaiting returns a job that waits for a slot: the first of the queue, else the first that waits for its
+// partner's share.
 func (dsp *Dispatcher) firstWaiting() *jobState {
 	if itm := dsp.queue.Next(); itm != nil {
 		return itm.Value
@@ -71,10 +73,11 @@
 	return nil
 }
 
-// enqueue files a job that has waiting tasks.
+// enqueue puts a job with waiting tasks into the queue, or updates its place there; a parked job stays parked. A
+// job without waiting tasks is removed.
 func (dsp *Dispatcher) enqueue(jst *jobState) {
-	if jst.counted != len(jst.pending) {
-		dsp.count(jst, len(jst.pending)-jst.counted)
+	if jst.countedWaiting != len(jst.pending) {
+		dsp.adjustWaiting(jst, len(jst.pending)-jst.countedWaiting)
 	}
 	if len(jst.pending) == 0 {
 		dsp.dequeue(jst)
@@ -86,19 +89,20 @@
 	if !jst.item.Queued() {
 		dsp.queued += len(jst.pending)
 	}
-	dsp.file(dsp.queue, jst)
+	dsp.putInQueue(dsp.queue, jst)
 }
 
-func (dsp *Dispatcher) file(que *order.Queue[*jobState], jst *jobState) {
+// putInQueue puts the job into the queue, ordered by partner, admission time and remaining estimated run time.
+func (dsp *Dispatcher) putInQueue(que *order.Queue[*jobState], jst *jobState) {
 	spc := jst.spec()
 	remaining := time.Duration(len(jst.pending)) * dsp.estimate(jst)
 	que.Put(&jst.item, string(spc.Class.Owner), spc.Admitted, remaining)
 }
 
-// dequeue takes a job out of the queue or its park.
+// dequeue removes a job from the queue or from its park.
 func (dsp *Dispatcher) dequeue(jst *jobState) {
 	if jst.waitsForSlot() {
-		dsp.queued -= jst.counted
+		dsp.queued -= jst.countedWaiting
 	}
 	if jst.park != nil {
 		jst.park.queue.Remove(&jst.item)
@@ -110,8 +114,8 @@
 	}
 }
 
-// parkFor returns the park with that key.
-func (dsp *Dispatcher) parkFor(key parkKey) *park {
+// parkOf returns the park with the key and creates it if necessary.
+func (dsp *Dispatcher) parkOf(key parkKey) *park {
 	prk := dsp.parks[key]
 	if prk == nil {
 		prk = &park{key: key, queue: order.NewQueue[*jobState](dsp.cfg.Ageing)}
@@ -123,7 +127,7 @@
 	return prk
 }
 
-// leavePark forgets a park once no job can come to it; there is one for each pair of team and
+// leavePark removes the park of a limit once no job uses it any more; there is one for each pair of team and
 // catalogue entry.
 func (dsp *Dispatcher) leavePark(prk *park) {
 	prk.users--
@@ -132,40 +136,43 @@
 	}
 }
 
+// parkJob moves a job from the queue into a park, and sets the timer that the park's reason needs.
 func (dsp *Dispatcher) parkJob(now time.Time, jst *jobState, prk *park) {
 	dsp.dequeue(jst)
 	jst.park = prk
-	dsp.file(prk.queue, jst)
+	dsp.putInQueue(prk.queue, jst)
 	if jst.waitsForSlot() {
-		dsp.queued += jst.counted
+		dsp.queued += jst.countedWaiting
 	}
 	switch {
 	case prk.key.reason == parkLimit:
-		dsp.watchPark(now, prk)
-	case prk.key.reason == parkWidth && !jst.wideTimed:
-		jst.wideTimed = true
+		dsp.scheduleUnpark(now, prk)
+	case prk.key.reason == parkWidth && !jst.wideTimerSet:
+		jst.wideTimerSet = true
 		dsp.timers.push(timer{at: now.Add(dsp.cfg.WideReserveDelay), kind: timerWide, jst: jst})
 	}
 }
 
-// watchPark tries again after a while: units of limits also come from other entry instances.
-func (dsp *Dispatcher) watchPark(now time.Time, prk *park) {
-	if !prk.timed {
-		prk.timed = true
+// scheduleUnpark sets a timer to try a parked job again, since units of limits also come from other entry
+// instances, without an event here.
+func (dsp *Dispatcher) scheduleUnpark(now time.Time, prk *park) {
+	if !prk.timerSet {
+		prk.timerSet = true
 		prk.pause = min(max(2*prk.pause, dsp.cfg.LimitRetryDelay), dsp.cfg.MaxLimitRetryDelay)
 		dsp.timers.push(timer{at: now.Add(prk.pause), kind: timerParked, park: prk})
 	}
 }
 
+// parkedDue tries the first job of a park again after its delay.
 func (dsp *Dispatcher) parkedDue(now time.Time, prk *park) {
-	prk.timed = false
+	prk.timerSet = false
 	dsp.unparkOne(prk)
 	if prk.queue.Len() > 0 {
-		dsp.watchPark(now, prk)
+		dsp.scheduleUnpark(now, prk)
 	}
 }
 
-// unparkOne puts the first job of a park back into the queue.
+// unparkOne puts the first job of a park back into the queue; it reports false if the park is empty.
 func (dsp *Dispatcher) unparkOne(prk *park) bool {
 	itm := prk.queue.Next()
 	if itm == nil {
@@ -177,11 +184,12 @@
 	return true
 }
 
-// unparkReady lets a job go on whose width, length or share fits now.
+// unparkReady puts a job back into the queue that waited for several slots or for a share, if it can start now; it
+// reports whether there was one.
 func (dsp *Dispatcher) unparkReady(now time.Time) bool {
 	for _, prk := range dsp.shapeParks {
 		itm := prk.queue.Next()
-		if itm == nil || !dsp.allowed(now, itm.Value, prk.key.reason) {
+		if itm == nil || !dsp.mayUnpark(now, itm.Value, prk.key.reason) {
 			continue
 		}
 		if srv, _ := dsp.pool.Pick(dsp.widths(itm.Value)); srv != nil {
@@ -191,7 +199,8 @@
 	return false
 }
 
-func (dsp *Dispatcher) allowed(now time.Time, jst *jobState, reason parkReason) bool {
+// mayUnpark reports whether the share that the job was parked for allows it to go on now.
+func (dsp *Dispatcher) mayUnpark(now time.Time, jst *jobState, reason parkReason) bool {
 	switch reason {
 	case parkLong:
 		return dsp.longAllowed()
--- a/internal/request/dispatch/policy_test.go
+++ b/internal/request/dispatch/policy_test.go
@@ -11,18 +11,18 @@
 	"chestnutstack/internal/request/job"
 )
 
-// outcome is what one policy made of a workload.
+// outcome is the result of one policy for a workload.
 type outcome struct {
 	policy string
 	jobs   []float64
-	// tasks holds the response ratios of tasks; their time runs from the job's due arrival.
-	tasks   []float64
-	useful  int
-	wasted  map[string]int
-	refused int
-	failed  int
-	doubles int
-	left    int
+	// tasks holds the response ratios of tasks; the response time counts from the job's due arrival.
+	tasks        []float64
+	useful       int
+	wasted       map[string]int
+	refused      int
+	failed       int
+	doubleStarts int
+	left         int
 }
 
 func (out *outcome) waste() float64 {
@@ -56,8 +56,8 @@
 	slices.Sort(out.tasks)
 }
 
-// runDispatchers gives the workload to Dispatchers.
-func runDispatchers(shp shape, cfg dispatch.Config, trf traffic, wkl *workload, seed uint64, story func(*cluster)) *outcome {
+// runDispatchers runs the workload on a cluster of Dispatchers; injectFaults, if set, schedules faults.
+func runDispatchers(shp shape, cfg dispatch.Config, trf traffic, wkl *workload, seed uint64, injectFaults func(*cluster)) *outcome {
 	out := &outcome{policy: "Dispatcher", wasted: map[string]int{}}
 	cls := newCluster(shp, cfg, seed)
 	cls.runTime = func(tid job.TaskID) (time.Duration, bool) {
@@ -74,8 +74,8 @@
 		}
 		out.add(sjb, cls.now)
 	}
-	if story != nil {
-		story(cls)
+	if injectFaults != nil {
+		injectFaults(cls)
 	}
 	for _, sjb := range wkl.jobs {
 		cls.at(sjb.due, func() { submit(cls, sjb, out) })
@@ -83,7 +83,7 @@
 	cls.watchTasks(wkl, out)
 	cls.run(simStart.Add(trf.duration + 60*time.Second))
 	cls.countWaste(out)
-	out.doubles = cls.doubles
+	out.doubleStarts = cls.doubleStarts
 	for _, sjb := range wkl.jobs {
 		if sjb.verdict == "" {
 			out.left++
@@ -106,7 +106,7 @@
 	})
 }
 
-// watchTasks notes when the answer of a task reaches its entry instance.
+// watchTasks records when the answer of each task reaches its entry instance.
 func (cls *cluster) watchTasks(wkl *workload, out *outcome) {
 	cls.answered = func(tid job.TaskID) {
 		sjb := wkl.bySub[tid.Submission()]
@@ -125,8 +125,8 @@
 	}
 }
 
-// ideal is one omniscient queue: it knows every free slot and every run time at once, over no
-// network, and takes the shortest remaining job first, its longest task first.
+// ideal simulates one queue with full knowledge of free slots and run times and no network latency. It takes the
+// shortest remaining job first, and the longest task of a job first.
 func ideal(shp shape, trf traffic, wkl *workload) *outcome {
 	out := &outcome{policy: "omniscient queue", wasted: map[string]int{}}
 	smn := &sim{now: simStart}
@@ -198,51 +198,51 @@
 	return val
 }
 
-// guess says where a simple policy sends a task, given what the entry believes to be free.
-type guess func(rnd *rand.Rand, believed []int) int
+// guess is the choice of a simple policy: it returns the server for a task, given the estimated free slots.
+type guess func(rnd *rand.Rand, estimate []int) int
 
-func randomServer(rnd *rand.Rand, believed []int) int { return rnd.IntN(len(believed)) }
+func randomServer(rnd *rand.Rand, estimate []int) int { return rnd.IntN(len(estimate)) }
 
-// twoChoices takes the better of two random servers by the occupancy that answers carried.
-func twoChoices(rnd *rand.Rand, believed []int) int {
-	one, two := rnd.IntN(len(believed)), rnd.IntN(len(believed))
-	if believed[two] > believed[one] {
+// twoChoices returns the one of two random servers that has more free slots by the last answers.
+func twoChoices(rnd *rand.Rand, estimate []int) int {
+	one, two := rnd.IntN(len(estimate)), rnd.IntN(len(estimate))
+	if estimate[two] > estimate[one] {
 		return two
 	}
 	return one
 }
 
-// ownGuess takes the server believed to have the most free slots.
-func ownGuess(rnd *rand.Rand, believed []int) int {
-	best := rnd.IntN(len(believed))
-	for num := range believed {
-		idx := (best + num) % len(believed)
-		if believed[idx] > believed[best] {
+// ownGuess returns the server with the most free slots by estimate.
+func ownGuess(rnd *rand.Rand, estimate []int) int {
+	best := rnd.IntN(len(estimate))
+	for num := range estimate {
+		idx := (best + num) % len(estimate)
+		if estimate[idx] > estimate[best] {
 			best = idx
 		}
 	}
 	return best
 }
 
-// runGuess runs a policy without homes: every entry sends at once where its guess says, first in
-// first out, and after a refusal guesses again, with a pause that doubles.
+// runGuess simulates a policy without homes: each entry sends tasks at once to the server that gss returns, first
+// in first out. After a refusal it chooses again, from the fifth refusal of a task on after a delay that doubleStarts.
 func runGuess(name string, gss guess, shp shape, trf traffic, wkl *workload, seed uint64) *outcome {
 	out := &outcome{policy: name, wasted: map[string]int{}}
 	smn := &sim{now: simStart, rnd: rand.New(rand.NewPCG(seed, 5))}
 	free := make([]int, shp.servers)
-	believed := make([][]int, shp.entries)
+	estimate := make([][]int, shp.entries)
 	for idx := range free {
 		free[idx] = int(shp.slots)
 	}
-	for idx := range believed {
-		believed[idx] = slices.Clone(free)
+	for idx := range estimate {
+		estimate[idx] = slices.Clone(free)
 	}
 	done := map[*simJob]int{}
 	var send func(sjb *simJob, idx, tries int)
 	send = func(sjb *simJob, idx, tries int) {
-		bel := believed[sjb.entry]
-		srv := gss(smn.rnd, bel)
-		bel[srv]--
+		est := estimate[sjb.entry]
+		srv := gss(smn.rnd, est)
+		est[srv]--
 		lat := shp.far
 		if srv%shp.domains == sjb.entry%shp.domains {
 			lat = shp.near
@@ -251,7 +251,7 @@
 			if free[srv] == 0 {
 				out.wasted["refusal"] += 2
 				smn.after(lat, func() {
-					bel[srv] = 0
+					est[srv] = 0
 					pause := time.Duration(0)
 					if tries > 3 {
 						pause = time.Millisecond << min(tries-3, 6)
@@ -265,7 +265,7 @@
 				free[srv]++
 				seen := free[srv]
 				smn.after(lat, func() {
-					bel[srv] = seen
+					est[srv] = seen
 					out.addTask(sjb, idx, smn.now)
 					done[sjb]++
 					if done[sjb] == len(sjb.times) {
--- a/internal/request/dispatch/property_test.go
+++ b/internal/request/dispatch/property_test.go
@@ -13,7 +13,7 @@
 	"chestnutstack/internal/request/verdict"
 )
 
-// ledger is a Limits that must be balanced when all is over.
+// ledger is a Limits of at most most units; all of them must have been released at the end.
 type ledger struct {
 	most  int
 	taken int
@@ -36,17 +36,17 @@
 	near: 200 * time.Microsecond, far: time.Millisecond,
 }
 
-// stirred is a cluster with random jobs and random faults.
-type stirred struct {
+// randomCluster is a cluster with random jobs and random faults.
+type randomCluster struct {
 	*cluster
-	tst   *rapid.T
-	trial []*stirredJob
-	// pauses counts the entries that were paused; the times of ends are not checked then.
+	tst  *rapid.T
+	jobs []*randomJob
+	// pauses counts the pauses of entries; if there was one, the times at which jobs ended are not checked.
 	pauses int
-	bySub  map[job.SubmissionID]*stirredJob
+	bySub  map[job.SubmissionID]*randomJob
 }
 
-type stirredJob struct {
+type randomJob struct {
 	jb      *job.Job
 	ent     *simEntry
 	times   []time.Duration
@@ -56,99 +56,98 @@
 	endedAt time.Time
 }
 
-var faults = map[string]func(stm *stirred, srv *simServer, ent *simEntry){
-	"silent connection": func(_ *stirred, srv *simServer, ent *simEntry) {
+var faults = map[string]func(rcl *randomCluster, srv *simServer, ent *simEntry){
+	"silent connection": func(_ *randomCluster, srv *simServer, ent *simEntry) {
 		if ses := ent.sessions[srv.id]; ses != nil {
 			ses.silent = true
 		}
 	},
-	"slow connection": func(stm *stirred, srv *simServer, ent *simEntry) {
+	"slow connection": func(rcl *randomCluster, srv *simServer, ent *simEntry) {
 		if ses := ent.sessions[srv.id]; ses != nil {
-			ses.slow = time.Duration(500+stm.rnd.IntN(3000)) * time.Millisecond
+			ses.slow = time.Duration(500+rcl.rnd.IntN(3000)) * time.Millisecond
 		}
 	},
-	"server crash": func(stm *stirred, srv *simServer, _ *simEntry) {
+	"server crash": func(rcl *randomCluster, srv *simServer, _ *simEntry) {
 		if !srv.down {
 			srv.crash()
-			stm.after(300*time.Millisecond, srv.restart)
+			rcl.after(300*time.Millisecond, srv.restart)
 		}
 	},
-	"server cut off": func(stm *stirred, srv *simServer, _ *simEntry) {
+	"server cut off": func(rcl *randomCluster, srv *simServer, _ *simEntry) {
 		srv.cutOff = true
-		stm.after(2*time.Second, func() { srv.cutOff = false })
+		rcl.after(2*time.Second, func() { srv.cutOff = false })
 	},
-	"server leaving": func(stm *stirred, srv *simServer, _ *simEntry) {
+	"server leaving": func(rcl *randomCluster, srv *simServer, _ *simEntry) {
 		srv.leaving = true
-		stm.after(time.Second, func() { srv.leaving = false })
+		rcl.after(time.Second, func() { srv.leaving = false })
 	},
-	"server fails all": func(stm *stirred, srv *simServer, _ *simEntry) {
+	"server fails all": func(rcl *randomCluster, srv *simServer, _ *simEntry) {
 		srv.failAll = true
-		stm.after(time.Second, func() { srv.failAll = false })
+		rcl.after(time.Second, func() { srv.failAll = false })
 	},
-	"entry paused": func(stm *stirred, _ *simServer, ent *simEntry) {
+	"entry paused": func(rcl *randomCluster, _ *simServer, ent *simEntry) {
 		ent.paused = true
-		stm.pauses++
-		stm.after(12*time.Second, func() { ent.paused = false })
+		rcl.pauses++
+		rcl.after(12*time.Second, func() { ent.paused = false })
 	},
-	"entry dies": func(stm *stirred, _ *simServer, ent *simEntry) {
-		ent.dead = ent != stm.entries[0]
-		stm.after(time.Second, stm.publish)
+	"entry dies": func(rcl *randomCluster, _ *simServer, ent *simEntry) {
+		ent.dead = ent != rcl.entries[0]
+		rcl.after(time.Second, rcl.publish)
 	},
-	"messages doubled": func(stm *stirred, _ *simServer, _ *simEntry) {
-		stm.doubled = true
-		stm.after(time.Second, func() { stm.doubled = false })
+	"messages duplicateMessages": func(rcl *randomCluster, _ *simServer, _ *simEntry) {
+		rcl.duplicateMessages = true
+		rcl.after(time.Second, func() { rcl.duplicateMessages = false })
 	},
-	"view of the pool is stale": func(stm *stirred, srv *simServer, _ *simEntry) {
-		// Only one of the entries comes to know that the server left the list.
+	"view of the pool is stale": func(rcl *randomCluster, srv *simServer, _ *simEntry) {
+		// Only one entry is told that the server left the list.
 		srv.unlisted = true
-		ent := stm.entries[stm.rnd.IntN(len(stm.entries))]
+		ent := rcl.entries[rcl.rnd.IntN(len(rcl.entries))]
 		if !ent.dead {
-			stm.publishTo(ent)
+			rcl.publishTo(ent)
 		}
-		stm.after(time.Second, func() {
+		rcl.after(time.Second, func() {
 			srv.unlisted = false
-			stm.publish()
+			rcl.publish()
 		})
 	},
 }
 
-// A caller must never get an answer that is not its own and whole, nor "not run" for work that
-// ran, and no task may start twice, whatever fails in whatever order. Random jobs meet random
-// faults; when all is over the books must balance: no slot, no unit of a limit and no job is left.
+// Guards against wrong or partial answers, "not run" for work that ran, tasks started twice, and slots, units of
+// limits or jobs that are never released. Random jobs run under random faults in random order.
 func TestInvariantsUnderRandomFaults(tst *testing.T) {
 	rapid.Check(tst, func(tst *rapid.T) {
-		stm := stir(tst)
-		stm.run(simStart.Add(2 * time.Minute))
-		stm.check()
+		rcl := newRandomCluster(tst)
+		rcl.run(simStart.Add(2 * time.Minute))
+		rcl.check()
 	})
 }
 
-func stir(tst *rapid.T) *stirred {
+func newRandomCluster(tst *rapid.T) *randomCluster {
 	led := &ledger{most: rapid.IntRange(1, 20).Draw(tst, "limit")}
-	stm := &stirred{
+	rcl := &randomCluster{
 		cluster: newClusterWith(tiny, dispatch.DefaultConfig(), led, rapid.Uint64().Draw(tst, "seed")),
-		tst:     tst, bySub: map[job.SubmissionID]*stirredJob{},
+		tst:     tst, bySub: map[job.SubmissionID]*randomJob{},
 	}
-	stm.runTime = func(tid job.TaskID) (time.Duration, bool) {
-		sjb := stm.bySub[tid.Submission()]
-		return sjb.times[tid.Index()], sjb.fails
+	rcl.runTime = func(tid job.TaskID) (time.Duration, bool) {
+		rjb := rcl.bySub[tid.Submission()]
+		return rjb.times[tid.Index()], rjb.fails
 	}
-	stm.ended = func(_ *simEntry, jb *job.Job) {
-		sjb := stm.bySub[jb.Spec().Submission]
-		sjb.ends++
-		sjb.endedAt = stm.now
+	rcl.ended = func(_ *simEntry, jb *job.Job) {
+		rjb := rcl.bySub[jb.Spec().Submission]
+		rjb.ends++
+		rjb.endedAt = rcl.now
 	}
 	for num := range rapid.IntRange(1, 30).Draw(tst, "jobs") {
-		stm.addJob(num)
+		rcl.addJob(num)
 	}
 	for range rapid.IntRange(0, 6).Draw(tst, "faults") {
 		name := rapid.SampledFrom(faultNames()).Draw(tst, "fault")
 		at := millis(tst, "at", 0, 3000)
-		srv := rapid.SampledFrom(stm.servers).Draw(tst, "server")
-		ent := rapid.SampledFrom(stm.entries).Draw(tst, "entry")
-		stm.at(simStart.Add(at), func() { faults[name](stm, srv, ent) })
+		srv := rapid.SampledFrom(rcl.servers).Draw(tst, "server")
+		ent := rapid.SampledFrom(rcl.entries).Draw(tst, "entry")
+		rcl.at(simStart.Add(at), func() { faults[name](rcl, srv, ent) })
 	}
-	return stm
+	return rcl
 }
 
 func faultNames() []string {
@@ -164,97 +163,97 @@
 	return time.Duration(rapid.IntRange(low, high).Draw(tst, name)) * time.Millisecond
 }
 
-func (stm *stirred) addJob(num int) {
-	sjb := &stirredJob{fails: rapid.IntRange(0, 9).Draw(stm.tst, "fails") == 0}
-	for range rapid.IntRange(0, 12).Draw(stm.tst, "tasks") {
-		sjb.times = append(sjb.times, millis(stm.tst, "run time", 1, 1500))
+func (rcl *randomCluster) addJob(num int) {
+	rjb := &randomJob{fails: rapid.IntRange(0, 9).Draw(rcl.tst, "fails") == 0}
+	for range rapid.IntRange(0, 12).Draw(rcl.tst, "tasks") {
+		rjb.times = append(rjb.times, millis(rcl.tst, "run time", 1, 1500))
 	}
-	due := simStart.Add(millis(stm.tst, "due", 10, 3000))
+	due := simStart.Add(millis(rcl.tst, "due", 10, 3000))
 	cls := &job.Class{
 		Name: fmt.Sprint("class-", num%3), Owner: job.Partner(fmt.Sprint("partner-", num%2)),
-		Needs:   job.Needs{Processors: uint32(4 * max(0, rapid.IntRange(-6, 4).Draw(stm.tst, "slots")))},
-		RunTime: millis(stm.tst, "declared", 0, 3000), Prefer: job.Preference(num % 2),
+		Needs:   job.Needs{Processors: uint32(4 * max(0, rapid.IntRange(-6, 4).Draw(rcl.tst, "slots")))},
+		RunTime: millis(rcl.tst, "declared", 0, 3000), Prefer: job.Preference(num % 2),
 	}
 	spc := job.Spec{
 		Submission: job.SubmissionID(fmt.Sprint("job-", num)), Class: cls, Admitted: due,
-		NotAfter: due.Add(millis(stm.tst, "not after", 50, 20_000)), Tasks: make([]job.TaskSpec, len(sjb.times)),
+		NotAfter: due.Add(millis(rcl.tst, "not after", 50, 20_000)), Tasks: make([]job.TaskSpec, len(rjb.times)),
 	}
-	sjb.jb = job.New(job.NewID("sim", fmt.Sprint(num)), spc)
-	sjb.ent = rapid.SampledFrom(stm.entries).Draw(stm.tst, "entry")
-	stm.bySub[spc.Submission] = sjb
-	stm.trial = append(stm.trial, sjb)
-	stm.at(due, func() {
-		sjb.ent.event(func(now time.Time) { sjb.refused = sjb.ent.dsp.Submit(now, sjb.jb) })
+	rjb.jb = job.New(job.NewID("sim", fmt.Sprint(num)), spc)
+	rjb.ent = rapid.SampledFrom(rcl.entries).Draw(rcl.tst, "entry")
+	rcl.bySub[spc.Submission] = rjb
+	rcl.jobs = append(rcl.jobs, rjb)
+	rcl.at(due, func() {
+		rjb.ent.event(func(now time.Time) { rjb.refused = rjb.ent.dsp.Submit(now, rjb.jb) })
 	})
-	if rapid.IntRange(0, 4).Draw(stm.tst, "cancel") == 0 {
-		stm.at(due.Add(millis(stm.tst, "cancel at", 0, 1000)), func() {
-			sjb.ent.event(func(now time.Time) { sjb.ent.dsp.Cancel(now, sjb.jb) })
+	if rapid.IntRange(0, 4).Draw(rcl.tst, "cancel") == 0 {
+		rcl.at(due.Add(millis(rcl.tst, "cancel at", 0, 1000)), func() {
+			rjb.ent.event(func(now time.Time) { rjb.ent.dsp.Cancel(now, rjb.jb) })
 		})
 	}
 }
 
-func (stm *stirred) check() {
-	tst := stm.tst
-	if stm.doubles > 0 {
-		tst.Fatalf("%d tasks started twice", stm.doubles)
+func (rcl *randomCluster) check() {
+	tst := rcl.tst
+	if rcl.doubleStarts > 0 {
+		tst.Fatalf("%d tasks started twice", rcl.doubleStarts)
 	}
-	for _, sjb := range stm.trial {
-		if !sjb.ent.dead {
-			stm.checkJob(sjb)
+	for _, rjb := range rcl.jobs {
+		if !rjb.ent.dead {
+			rcl.checkJob(rjb)
 		}
 	}
 	alive := true
-	for _, ent := range stm.entries {
+	for _, ent := range rcl.entries {
 		alive = alive && !ent.dead
 		sta := ent.dsp.Snapshot()
 		if !ent.dead && (!ent.dsp.Idle() || sta.Waiting != 0 || sta.InFlight != 0) {
 			tst.Fatalf("%s is not idle at the end: %+v", ent.id, sta)
 		}
 	}
-	for _, srv := range stm.servers {
+	for _, srv := range rcl.servers {
 		if srv.free != srv.slots {
 			tst.Fatalf("%s has %d of %d slots free at the end", srv.id, srv.free, srv.slots)
 		}
 	}
-	led := stm.lim.(*ledger)
+	led := rcl.lim.(*ledger)
 	if alive && led.taken != 0 || led.worst > led.most {
-		tst.Fatalf("limit of %d: %d at worst, %d left over", led.most, led.worst, led.taken)
+		tst.Fatalf("limit of %d: %d units taken at most, %d not released", led.most, led.worst, led.taken)
 	}
 }
 
-func (stm *stirred) checkJob(sjb *stirredJob) {
-	tst, sub := stm.tst, sjb.jb.Spec().Submission
-	if sjb.refused != nil {
-		if sjb.refused.Verdict() == verdict.NotRun && stm.started(sjb) > 0 {
+func (rcl *randomCluster) checkJob(rjb *randomJob) {
+	tst, sub := rcl.tst, rjb.jb.Spec().Submission
+	if rjb.refused != nil {
+		if rjb.refused.Verdict() == verdict.NotRun && rcl.started(rjb) > 0 {
 			tst.Fatalf("%s was refused as not run and ran", sub)
 		}
 		return
 	}
-	if !sjb.jb.Ended() || sjb.ends != 1 {
-		tst.Fatalf("%s ended %d times", sub, sjb.ends)
+	if !rjb.jb.Ended() || rjb.ends != 1 {
+		tst.Fatalf("%s ended %d times", sub, rjb.ends)
 	}
-	if late := sjb.endedAt.Sub(sjb.jb.Spec().NotAfter); late > 0 && stm.pauses == 0 && stm.sent[sub] == 0 {
+	if late := rjb.endedAt.Sub(rjb.jb.Spec().NotAfter); late > 0 && rcl.pauses == 0 && rcl.sent[sub] == 0 {
 		tst.Fatalf("%s was never sent and ended %v past its not-after time", sub, late)
 	}
-	switch err := sjb.jb.Err(); {
+	switch err := rjb.jb.Err(); {
 	case err == nil:
-		for idx := range sjb.jb.TaskCount() {
-			tsk := sjb.jb.Task(uint32(idx))
+		for idx := range rjb.jb.TaskCount() {
+			tsk := rjb.jb.Task(uint32(idx))
 			if tsk.State() != job.Answered || string(tsk.Payload()) != taskKey(tsk.ID()) {
 				tst.Fatalf("%s: task %d is %v with answer %q", sub, idx, tsk.State(), tsk.Payload())
 			}
 		}
-	case err.Verdict() == verdict.NotRun && stm.started(sjb) > 0:
+	case err.Verdict() == verdict.NotRun && rcl.started(rjb) > 0:
 		tst.Fatalf("%s ended as not run and ran: %v", sub, err)
 	case err.Verdict() == verdict.Done || err.Verdict() == verdict.Unspecified:
 		tst.Fatalf("%s ended with %v", sub, err)
 	}
 }
 
-func (stm *stirred) started(sjb *stirredJob) int {
+func (rcl *randomCluster) started(rjb *randomJob) int {
 	num := 0
-	for idx := range sjb.jb.TaskCount() {
-		num += stm.starts[fmt.Sprintf("%s#%d", sjb.jb.Spec().Submission, idx)]
+	for idx := range rjb.jb.TaskCount() {
+		num += rcl.starts[fmt.Sprintf("%s#%d", rjb.jb.Spec().Submission, idx)]
 	}
 	return num
 }
--- a/internal/request/dispatch/report.go
+++ b/internal/request/dispatch/report.go
@@ -7,50 +7,53 @@
 	"chestnutstack/internal/request/verdict"
 )
 
-// runTimeWeight is the weight of one more task in the average run time.
+// runTimeWeight is the weight of a new run time in the moving average.
 const runTimeWeight = 0.01
 
-// HandleReport takes in a message from a backend server.
+// HandleReport processes a message from a backend server; reports of unknown servers are ignored.
 func (dsp *Dispatcher) HandleReport(now time.Time, rep Report) {
-	dsp.enter(now)
+	dsp.beginEvent(now)
 	if srv := dsp.servers[rep.Server]; srv != nil {
-		dsp.report(now, srv, &rep)
+		dsp.applyReport(now, srv, &rep)
 	}
-	dsp.advance(now)
+	dsp.endEvent(now)
 }
 
-func (dsp *Dispatcher) report(now time.Time, srv *server, rep *Report) {
+// applyReport updates the state of the backend server and of its tasks from a report.
+func (dsp *Dispatcher) applyReport(now time.Time, srv *server, rep *Report) {
 	dsp.setIncarnation(now, srv, rep.Incarnation)
 	srv.heard = now
 	for idx := range rep.Results {
-		dsp.result(now, srv, &rep.Results[idx])
+		dsp.applyResult(now, srv, &rep.Results[idx])
 	}
 	for _, ref := range rep.Refused {
-		dsp.refused(now, srv, ref)
+		dsp.applyRefusal(now, srv, ref)
 	}
 	for idx := range rep.Statuses {
-		dsp.status(now, srv, &rep.Statuses[idx])
+		dsp.applyStatus(now, srv, &rep.Statuses[idx])
 	}
 	srv.leaving = rep.Leaving
 	dsp.setSlots(srv, rep.Slots)
-	dsp.believe(now, srv, rep.FreeSlots)
+	dsp.recordFreeSlots(now, srv, rep.FreeSlots)
 	dsp.setOpen(srv)
 }
 
-// ReasonTakenOver ends a job whose submission another entry instance took over, because a
-// resubmission reached it and this one was out of its reach.
+// ReasonTakenOver is the reason of a job that ends because another entry instance took its submission over: a
+// resubmission reached that instance while it could not reach this one.
 const ReasonTakenOver = "taken-over"
 
-func (dsp *Dispatcher) result(now time.Time, srv *server, res *Result) {
+// applyResult processes the end of a task: it releases the slots, and ends the job if all tasks are answered or
+// this one failed.
+func (dsp *Dispatcher) applyResult(now time.Time, srv *server, res *Result) {
 	dsp.stats.Results++
-	flt := dsp.find(srv, res.Task)
-	if flt == nil {
+	att := dsp.attemptOf(srv, res.Task)
+	if att == nil {
 		dsp.stats.LateAnswers++
 		return
 	}
-	jst, tsk := flt.jst, flt.task()
-	dsp.learn(flt, res)
-	dsp.judge(now, srv, flt, res.Outcome)
+	jst, tsk := att.jst, att.task()
+	dsp.observeRunTime(att, res)
+	dsp.recordOutcome(now, srv, att, res.Outcome)
 	switch res.Outcome {
 	case OutcomeOK:
 		tsk.MarkAnswered(res.Payload)
@@ -60,11 +63,11 @@
 	default:
 		tsk.MarkFailed(res.Error)
 	}
-	dsp.vacate(now, flt, res.RunTime, false)
+	dsp.releaseSlots(now, att, res.RunTime, false)
 	jst.ptn.earn(&dsp.cfg)
 	switch {
 	case jst.job.Ended():
-		dsp.forget(jst)
+		dsp.forgetIfDone(jst)
 	case jst.job.Complete():
 		dsp.endJob(now, jst, nil)
 	case tsk.State() == job.RanAndFailed:
@@ -72,40 +75,43 @@
 	}
 }
 
-func (dsp *Dispatcher) learn(flt *flight, res *Result) {
+// observeRunTime adds the run time of a successful task to the estimates.
+func (dsp *Dispatcher) observeRunTime(att *attempt, res *Result) {
 	if res.Outcome != OutcomeOK || res.RunTime <= 0 {
 		return
 	}
-	flt.jst.cls.run.Observe(res.RunTime, flt.jst.declared)
-	dsp.meanRun += time.Duration(runTimeWeight * float64(res.RunTime-dsp.meanRun))
+	att.jst.cls.run.Observe(res.RunTime, att.jst.declared)
+	dsp.meanRunTime += time.Duration(runTimeWeight * float64(res.RunTime-dsp.meanRunTime))
 }
 
+// earn adds the retries for one answer to the partner's retry budget.
 func (ptn *partner) earn(cfg *Config) {
 	ptn.retries = min(ptn.retries+cfg.RetriesPerAnswer, cfg.RetryBurst)
 }
 
-// refused takes in a start that had no effect.
-func (dsp *Dispatcher) refused(now time.Time, srv *server, ref Refused) {
+// applyRefusal processes the refusal of a start: the task is retried, or its job ends.
+func (dsp *Dispatcher) applyRefusal(now time.Time, srv *server, ref Refused) {
 	dsp.stats.Refusals++
-	flt := dsp.find(srv, ref.Task)
-	if flt == nil {
+	att := dsp.attemptOf(srv, ref.Task)
+	if att == nil {
 		dsp.stats.LateAnswers++
 		return
 	}
 	if ref.Reason == RefusedDuplicate {
-		// The task is there, from this attempt or another, and may run: no proof at all.
-		flt.duplicate = true
-		dsp.ask(now, flt)
+		// The backend server has the task, from this attempt or another, and may run it: this proves nothing.
+		att.duplicate = true
+		dsp.query(now, att)
 		return
 	}
 	if ref.Reason == RefusedLeaving {
 		srv.leaving = true
 	}
-	jst := flt.jst
-	fenced := ref.Reason == RefusedRevoked && flt.task().State() == job.Sent
-	dsp.proved(now, flt)
-	if fenced && !jst.job.Ended() {
-		// Not revoked by us: another entry instance took the submission over and goes on with it.
+	jst := att.jst
+	revokedElsewhere := ref.Reason == RefusedRevoked && att.task().State() == job.Sent
+	dsp.recordNotRun(now, att)
+	if revokedElsewhere && !jst.job.Ended() {
+		// This instance has not revoked the task: another entry instance took the submission over and continues
+		// it.
 		dsp.endJob(now, jst, verdict.New(verdict.MayHaveRun, ReasonTakenOver).WithRetryAfter(minRetryAfter))
 		return
 	}
@@ -113,42 +119,42 @@
 		dsp.endJob(now, jst, verdict.New(jst.job.FailureVerdict(), "not-after-passed"))
 		return
 	}
-	dsp.retry(now, jst, flt)
+	dsp.retry(now, jst, att)
 }
 
-// proved records proof that the attempt did not run and never will.
-func (dsp *Dispatcher) proved(now time.Time, flt *flight) {
-	flt.task().MarkNotRun()
-	dsp.vacate(now, flt, 0, false)
+// recordNotRun records proof that the attempt did not run and never will, and releases its slots.
+func (dsp *Dispatcher) recordNotRun(now time.Time, att *attempt) {
+	att.task().MarkNotRun()
+	dsp.releaseSlots(now, att, 0, false)
 }
 
-// retry sends a task again that is proved not to have run: at once within the partner's budget,
-// else after a pause that doubles. A budget keeps a pool that refuses everything from drowning in
-// its own retries.
-func (dsp *Dispatcher) retry(now time.Time, jst *jobState, flt *flight) {
+// retry retries a task that provably did not run: at once while the partner has a retry budget, else after a delay
+// that doubles with each refusal. Without a budget, a pool that refuses everything would be overloaded with
+// retries.
+func (dsp *Dispatcher) retry(now time.Time, jst *jobState, att *attempt) {
 	ptn := jst.ptn
 	dsp.stats.Retries++
-	flt.refusals++
+	att.refusals++
 	if ptn.retries >= 1 || jst.job.Ended() {
 		ptn.retries--
-		dsp.requeue(jst, flt.idx)
+		dsp.requeue(jst, att.idx)
 		return
 	}
-	pause := dsp.cfg.RetryDelay << min(flt.refusals, 8)
-	dsp.timers.push(timer{at: now.Add(dsp.jitter(pause)), kind: timerRetry, jst: jst, num: uint64(flt.idx)})
-	dsp.watchDeadline(jst)
+	pause := dsp.cfg.RetryDelay << min(att.refusals, 8)
+	dsp.timers.push(timer{at: now.Add(dsp.jitter(pause)), kind: timerRetry, jst: jst, num: uint64(att.idx)})
+	dsp.scheduleDeadline(jst)
 }
 
-// jitter spreads a pause over half to one and a half of it.
+// jitter returns a random duration between half of pause and one and a half times pause.
 func (dsp *Dispatcher) jitter(pause time.Duration) time.Duration {
 	return pause/2 + time.Duration(dsp.rnd.Int64N(int64(pause)+1))
 }
 
-// status takes in the answer to an ask or a revoke.
-func (dsp *Dispatcher) status(now time.Time, srv *server, sta *Status) {
+// applyStatus processes the answer to a query or a revoke.
+func (dsp *Dispatcher) applyStatus(now time.Time, srv *server, sta *Status) {
 	dsp.stats.Statuses++
-	flt := dsp.find(srv, sta.Task)
-	if flt == nil {
+	att := dsp.attemptOf(srv, sta.Task)
+	if att == nil {
 		dsp.stats.LateAnswers++
 		return
 	}
@@ -156,63 +162,66 @@
 	case TaskEnded:
 		res := sta.Result
 		res.Task = sta.Task
-		dsp.result(now, srv, &res)
+		dsp.applyResult(now, srv, &res)
 	case TaskRunning:
-		dsp.running(now, flt)
+		dsp.applyRunning(now, att)
 	case TaskRevoked:
-		if flt.duplicate {
-			dsp.lose(now, flt, "duplicate-task")
+		if att.duplicate {
+			dsp.loseTask(now, att, "duplicate-task")
 			return
 		}
-		dsp.proved(now, flt)
-		dsp.requeue(flt.jst, flt.idx)
+		dsp.recordNotRun(now, att)
+		dsp.requeue(att.jst, att.idx)
 	default:
-		dsp.unknown(now, flt)
+		dsp.applyUnknown(now, att)
 	}
 }
 
-// running puts the next ask off for as long as the task has taken so far.
-func (dsp *Dispatcher) running(now time.Time, flt *flight) {
-	tsk := flt.task()
+// applyRunning records that a queried task runs. The next query is due once the task has taken twice as long as so
+// far, and at least AnswerTimeout later. A task of an ended job is stopped.
+func (dsp *Dispatcher) applyRunning(now time.Time, att *attempt) {
+	tsk := att.task()
 	tsk.MarkRunning()
-	flt.asked, flt.askSince = time.Time{}, time.Time{}
-	flt.lateAt = now.Add(max(dsp.cfg.AnswerTimeout, now.Sub(tsk.SentAt())))
-	if flt.jst.job.Ended() {
-		dsp.stop(flt)
+	att.queriedAt, att.firstQueriedAt = time.Time{}, time.Time{}
+	att.lateAt = now.Add(max(dsp.cfg.AnswerTimeout, now.Sub(tsk.SentAt())))
+	if att.jst.job.Ended() {
+		dsp.stopTask(att)
 	}
-	dsp.watch(now, flt)
+	dsp.scheduleCheck(now, att)
 }
 
-// unknown goes on to the revoke: that the backend server does not know a task is no proof, since
-// the start may still be on its way.
-func (dsp *Dispatcher) unknown(now time.Time, flt *flight) {
-	if !flt.task().MarkRevoking() {
+// applyUnknown sends a revoke for a task that the backend server does not know. This alone is no proof that the
+// task will not run, since the start may still be on its way.
+func (dsp *Dispatcher) applyUnknown(now time.Time, att *attempt) {
+	if !att.task().MarkRevoking() {
 		return
 	}
-	dsp.act.Revokes = append(dsp.act.Revokes, ServerTask{Server: flt.srv.id, Task: flt.task().ID()})
+	dsp.act.Revokes = append(dsp.act.Revokes, ServerTask{Server: att.srv.id, Task: att.task().ID()})
 	dsp.stats.Revokes++
-	flt.asked = now
-	dsp.watch(now, flt)
+	att.queriedAt = now
+	dsp.scheduleCheck(now, att)
 }
 
-// believe lets the backend server's own count of free slots go before the account for a while.
-func (dsp *Dispatcher) believe(now time.Time, srv *server, free uint32) {
+// recordFreeSlots lets the count of free slots that the backend server reported take precedence over the own
+// account for ReportValidity.
+func (dsp *Dispatcher) recordFreeSlots(now time.Time, srv *server, free uint32) {
 	dsp.pool.SetReportedFree(srv.acct, now, free)
 	if srv.acct.UsedByOthers() == 0 {
 		return
 	}
-	fresh := srv.trustUntil.IsZero()
-	srv.trustUntil = now.Add(dsp.cfg.ReportValidity)
+	fresh := srv.reportValidUntil.IsZero()
+	srv.reportValidUntil = now.Add(dsp.cfg.ReportValidity)
 	if fresh {
-		dsp.timers.push(timer{at: srv.trustUntil, kind: timerTrust, srv: srv})
+		dsp.timers.push(timer{at: srv.reportValidUntil, kind: timerReportExpiry, srv: srv})
 	}
 }
 
-func (dsp *Dispatcher) trustDue(now time.Time, srv *server) {
-	if srv.trustUntil.After(now) {
-		dsp.timers.push(timer{at: srv.trustUntil, kind: timerTrust, srv: srv})
+// reportExpired ends the precedence of the reported free slots, or waits on if a newer report extended it.
+func (dsp *Dispatcher) reportExpired(now time.Time, srv *server) {
+	if srv.reportValidUntil.After(now) {
+		dsp.timers.push(timer{at: srv.reportValidUntil, kind: timerReportExpiry, srv: srv})
 		return
 	}
-	srv.trustUntil = time.Time{}
+	srv.reportValidUntil = time.Time{}
 	dsp.pool.ForgetReport(srv.acct)
 }
--- a/internal/request/dispatch/scenario_test.go
+++ b/internal/request/dispatch/scenario_test.go
@@ -12,10 +12,10 @@
 	"chestnutstack/internal/request/dispatch"
 )
 
-// scenario is a workload with something going wrong in its middle third.
+// scenario is a workload with a fault in its middle third.
 type scenario struct {
-	trf   traffic
-	story func(cls *cluster, middle time.Duration)
+	trf          traffic
+	injectFaults func(cls *cluster, middle time.Duration)
 }
 
 var scenarios = map[string]scenario{
@@ -24,20 +24,20 @@
 	"2 skewed balancer": {trf: traffic{load: 0.5, skew: 0.4}},
 	// The first partner submits four times as much as usual: the pool is overloaded.
 	"3 partner burst": {trf: traffic{load: 0.5, burst: 4}},
-	// An entry instance dies with slots lent and borrowed; the list tells a second later.
-	"4 entry death": {trf: traffic{load: 0.5}, story: func(cls *cluster, middle time.Duration) {
+	// An entry instance dies with slots lent and borrowed; the list shows it a second later.
+	"4 entry death": {trf: traffic{load: 0.5}, injectFaults: func(cls *cluster, middle time.Duration) {
 		cls.after(middle, func() { cls.entries[2].dead = true })
 		cls.after(middle+time.Second, cls.publish)
 	}},
 	// Three backend servers fail every task within a millisecond and look idle.
-	"5 servers fail everything": {trf: traffic{load: 0.5}, story: func(cls *cluster, middle time.Duration) {
+	"5 servers fail everything": {trf: traffic{load: 0.5}, injectFaults: func(cls *cluster, middle time.Duration) {
 		for _, srv := range cls.servers[:3] {
 			cls.after(middle, func() { srv.failAll = true })
 			cls.after(2*middle, func() { srv.failAll = false })
 		}
 	}},
 	// A rack loses power; its six backend servers come back after the middle third.
-	"6 rack gone": {trf: traffic{load: 0.5}, story: func(cls *cluster, middle time.Duration) {
+	"6 rack gone": {trf: traffic{load: 0.5}, injectFaults: func(cls *cluster, middle time.Duration) {
 		for _, srv := range cls.servers {
 			if srv.rack == cls.servers[0].rack {
 				cls.after(middle, srv.crash)
@@ -46,7 +46,7 @@
 		}
 	}},
 	// All connections between one entry instance and ten servers go silent; new ones work.
-	"7 silent connections": {trf: traffic{load: 0.5}, story: func(cls *cluster, middle time.Duration) {
+	"7 silent connections": {trf: traffic{load: 0.5}, injectFaults: func(cls *cluster, middle time.Duration) {
 		cls.after(middle, func() {
 			for _, srv := range cls.servers[:10] {
 				for _, ent := range cls.entries {
@@ -64,8 +64,8 @@
 	scn.trf.misdeclared = 1
 	wkl := newWorkload(riga, scn.trf, *measureSeed)
 	out := runDispatchers(riga, dispatch.DefaultConfig(), scn.trf, wkl, *measureSeed, func(cls *cluster) {
-		if scn.story != nil {
-			scn.story(cls, duration/3)
+		if scn.injectFaults != nil {
+			scn.injectFaults(cls, duration/3)
 		}
 	})
 	return out, wkl
@@ -114,14 +114,14 @@
 	}
 }
 
-// When something goes wrong, callers may see failures for what was in flight there, but no task
-// starts twice, no job stays open, and only an entry instance that died takes jobs with it.
+// Under each fault, tasks in flight on the affected instances may fail. No task may start twice, no job may stay
+// open, and jobs may be lost only with the entry instance that died.
 func TestScenarios(tst *testing.T) {
 	for _, name := range scenarioNames() {
 		tst.Run(name, func(tst *testing.T) {
 			iss := is.New(tst)
 			out, wkl := scenarios[name].run(6 * time.Second)
-			iss.Equal(out.doubles, 0) // no task started twice
+			iss.Equal(out.doubleStarts, 0) // no task started twice
 			dead := 0
 			for _, sjb := range wkl.jobs {
 				if sjb.verdict == "" && sjb.entry != 2 {
--- a/internal/request/dispatch/sim_test.go
+++ b/internal/request/dispatch/sim_test.go
@@ -11,7 +11,8 @@
 	"chestnutstack/internal/request/job"
 )
 
-// sim is an event queue in virtual time; the fakes around it know latency, loss and slots only.
+// sim is an event queue in virtual time. The simulated network and servers model latency, message loss and slots
+// only.
 type sim struct {
 	now    time.Time
 	events events
@@ -85,7 +86,7 @@
 	}
 )
 
-// cluster is a set of Dispatchers over fake backend servers.
+// cluster is a set of Dispatchers with simulated backend servers.
 type cluster struct {
 	*sim
 	shp     shape
@@ -94,15 +95,15 @@
 	entries []*simEntry
 	servers []*simServer
 	byID    map[dispatch.ServerID]*simServer
-	// runTime tells how long a task really takes, and whether it fails.
-	runTime  func(tid job.TaskID) (time.Duration, bool)
-	ended    func(ent *simEntry, jb *job.Job)
-	answered func(tid job.TaskID)
-	starts   map[string]int
-	sent     map[job.SubmissionID]int
-	doubles  int
-	// doubled makes every message of a backend server arrive twice, the second time late.
-	doubled bool
+	// runTime returns the actual run time of a task, and whether it fails.
+	runTime      func(tid job.TaskID) (time.Duration, bool)
+	ended        func(ent *simEntry, jb *job.Job)
+	answered     func(tid job.TaskID)
+	starts       map[string]int
+	sent         map[job.SubmissionID]int
+	doubleStarts int
+	// duplicateMessages makes every message of a backend server arrive twice, the second time late.
+	duplicateMessages bool
 }
 
 type simEntry struct {
@@ -113,16 +114,16 @@
 	dead     bool
 	paused   bool
 	sessions map[dispatch.ServerID]*simSession
-	wakeAt   time.Time
+	tickAt   time.Time
 }
 
-// simSession is one connection; a silent one loses what is sent on it, both ways.
+// simSession is one connection; a silent one loses all messages in both directions without an error.
 type simSession struct {
 	ent    *simEntry
 	srv    *simServer
 	closed bool
 	silent bool
-	// slow delays what the entry sends; it arrives even after the entry has turned to a new one.
+	// slow delays the messages of the entry; they arrive even after the entry has opened a new connection.
 	slow time.Duration
 }
 
@@ -170,7 +171,7 @@
 	return cls
 }
 
-// publish gives every live entry the present membership.
+// publish sets the current membership on every live entry.
 func (cls *cluster) publish() {
 	for _, ent := range cls.entries {
 		if !ent.dead {
@@ -211,7 +212,8 @@
 	return cls.entries[idx]
 }
 
-// event runs a call on the Dispatcher and carries out what it decides.
+// event calls fun, which calls the Dispatcher, and carries out the resulting actions; a paused entry does it once
+// the pause is over.
 func (ent *simEntry) event(fun func(now time.Time)) {
 	if ent.dead {
 		return
@@ -258,7 +260,7 @@
 	for _, sid := range act.Reconnects {
 		ent.connect(sid)
 	}
-	ent.talk(act)
+	ent.sendToPeers(act)
 	for _, end := range act.Ended {
 		if ent.cls.ended != nil {
 			ent.cls.ended(ent, end.Job)
@@ -268,8 +270,8 @@
 	ent.schedule()
 }
 
-// talk carries the messages to peers.
-func (ent *simEntry) talk(act *dispatch.Actions) {
+// sendToPeers delivers the messages to peers.
+func (ent *simEntry) sendToPeers(act *dispatch.Actions) {
 	for _, bor := range act.Borrows {
 		per := ent.cls.entry(bor.Peer)
 		lat := ent.cls.latency(ent.domain, per.domain)
@@ -303,14 +305,14 @@
 
 func (ent *simEntry) schedule() {
 	due := ent.dsp.NextTick()
-	if due.IsZero() || (!ent.wakeAt.IsZero() && !due.Before(ent.wakeAt)) {
+	if due.IsZero() || (!ent.tickAt.IsZero() && !due.Before(ent.tickAt)) {
 		return
 	}
 	due = maxTime(due, ent.cls.now)
-	ent.wakeAt = due
+	ent.tickAt = due
 	ent.cls.at(due, func() {
-		if ent.wakeAt.Equal(due) {
-			ent.wakeAt = time.Time{}
+		if ent.tickAt.Equal(due) {
+			ent.tickAt = time.Time{}
 			ent.event(ent.dsp.HandleTick)
 		}
 	})
--- a/internal/request/dispatch/simhomes_test.go
+++ b/internal/request/dispatch/simhomes_test.go
@@ -6,8 +6,8 @@
 	"chestnutstack/internal/request/dispatch"
 )
 
-// homesOf gives each backend server a home among the entry instances of its failure domain, or among
-// all of them if it has none there, by rendezvous hashing as process/member does.
+// homesOf assigns each backend server to one of the entry instances of its failure domain, or of all if there are
+// none, by rendezvous hashing as process/member does.
 func homesOf(servers []dispatch.Server, peers []dispatch.Peer) []dispatch.Home {
 	homes := make([]dispatch.Home, 0, len(servers))
 	for _, srv := range servers {
@@ -35,7 +35,7 @@
 	return best
 }
 
-// mix spreads the bits of a hash, by the finalizer of SplitMix64.
+// mix mixes the bits of a hash with the finalizer of SplitMix64.
 func mix(val uint64) uint64 {
 	val = (val ^ val>>30) * 0xbf58476d1ce4e5b9
 	val = (val ^ val>>27) * 0x94d049bb133111eb
--- a/internal/request/dispatch/simserver_test.go
+++ b/internal/request/dispatch/simserver_test.go
@@ -8,7 +8,7 @@
 	"chestnutstack/internal/request/job"
 )
 
-// batch is what one flush says to one backend server.
+// batch holds the messages of one flush to one backend server.
 type batch struct {
 	starts  []dispatch.Start
 	asks    []job.TaskID
@@ -17,7 +17,7 @@
 	renew   bool
 }
 
-// simServer runs tasks by the rules of backend.proto.
+// simServer is a simulated backend server that follows the rules of backend.proto.
 type simServer struct {
 	cls      *cluster
 	id       dispatch.ServerID
@@ -49,7 +49,7 @@
 
 func taskKey(tid job.TaskID) string { return fmt.Sprintf("%s#%d", tid.Submission(), tid.Index()) }
 
-// restart begins a new incarnation that knows nothing.
+// restart begins a new incarnation that knows no tasks.
 func (srv *simServer) restart() {
 	srv.epoch++
 	srv.down = false
@@ -59,7 +59,7 @@
 	srv.sessions = map[dispatch.PeerID]*simSession{}
 }
 
-// crash ends all that runs; open connections break.
+// crash ends all running tasks and breaks all open connections.
 func (srv *simServer) crash() {
 	srv.down = true
 	srv.epoch++
@@ -122,7 +122,7 @@
 	if ses.closed || ses.silent || srv.cutOff {
 		return
 	}
-	if srv.cls.doubled {
+	if srv.cls.duplicateMessages {
 		again := rep
 		again.FreeSlots = 0
 		srv.cls.after(time.Duration(srv.cls.rnd.IntN(200))*time.Millisecond, func() {
@@ -171,7 +171,7 @@
 	srv.free -= stt.Slots
 	srv.cls.starts[key]++
 	if srv.cls.starts[key] > 1 {
-		srv.cls.doubles++
+		srv.cls.doubleStarts++
 	}
 	dur, fails := srv.cls.runTime(stt.Task)
 	out := dispatch.OutcomeOK
--- a/internal/request/dispatch/state.go
+++ b/internal/request/dispatch/state.go
@@ -9,44 +9,46 @@
 	"chestnutstack/internal/request/slot"
 )
 
-// jobState is a job with what the Dispatcher needs to place it. It stays until no task is in
-// flight any more, also past the end of the job, so that slots and limits are given back right.
+// jobState is a job with the state for its scheduling. It is kept until the job has ended and none of its tasks is
+// in flight any more, so that their slots and units of limits are given back.
 type jobState struct {
 	job  *job.Job
 	cls  *class
 	ptn  *partner
 	item order.Item[*jobState]
 	park *park
-	// limit is where the job parks when a limit holds it back.
+	// limit is the park of the job while a limit blocks it.
 	limit *park
-	// pending holds the indexes of waiting tasks, the next one last.
-	pending  []uint32
-	counted  int
-	flights  []flight
-	inFlight int
-	widths   []uint32
-	declared time.Duration
-	// cost is the estimate of one task that the backlog counts it with.
+	// pending holds the indexes of the waiting tasks; the last one is sent next.
+	pending        []uint32
+	countedWaiting int
+	attempts       []attempt
+	inFlight       int
+	widths         []uint32
+	declared       time.Duration
+	// cost is the estimated run time of one task with which it counts in the partner's backlog.
 	cost time.Duration
-	// deadline is the hold of the not-after time's timer, nil without one.
+	// deadline is referenced by the timer of the not-after time; nil while there is no such timer.
 	deadline *deadline
-	// wideTimed is set while a timer may keep a backend server for the job.
-	wideTimed bool
+	// wideTimerSet is true while a timerWide is set for the job.
+	wideTimerSet bool
 }
 
-// deadline is what the timer of a job's not-after time holds. Most jobs end long before, and a timer
-// that held the job itself would keep all of its tasks in memory until then.
+// deadline is the reference from the timer of a not-after time to its job; jst is set to nil when the job is
+// forgotten. Most jobs end long before that time, and a timer that referenced the job itself would keep all of its
+// tasks in memory until then.
 type deadline struct{ jst *jobState }
 
+// spec returns the specification of the job.
 func (jst *jobState) spec() *job.Spec { return jst.job.Spec() }
 
-// expired reports whether no task of the job may start any more.
+// expired reports whether the job's not-after time has passed, so that no task of it may start any more.
 func (jst *jobState) expired(now time.Time) bool {
 	end := jst.spec().NotAfter
 	return !end.IsZero() && !now.Before(end)
 }
 
-// class is what was learnt of a catalogue entry.
+// class holds the estimates and counts of a catalogue entry.
 type class struct {
 	name     string
 	run      order.RunTimeEstimator
@@ -54,47 +56,50 @@
 	waiting  int
 }
 
-// partner is a partner's retry budget and backlog.
+// partner holds the retry budget, the slots in use and the backlog of a partner.
 type partner struct {
 	name job.Partner
-	// retries is how many retries the partner has saved up.
+	// retries is the retry budget that is left.
 	retries float64
-	// inUse is how many slots its tasks use, and seen when it last submitted a job.
+	// inUse is how many slots the partner's tasks use; seen is when the partner last submitted a job.
 	inUse uint32
 	seen  time.Time
-	// backlog is the slot time of its waiting tasks.
+	// backlog is the estimated run time of the partner's waiting tasks, summed.
 	backlog time.Duration
 }
 
-// flight is the way of one attempt at a task; the flights of a job are allocated once.
-type flight struct {
+// attempt is the state of the current attempt at a task. The attempts of a job are allocated once, one for each
+// task, and reused for retries.
+type attempt struct {
 	jst *jobState
 	idx uint32
 	srv *server
-	// prev and next link the flights on one backend server.
-	prev, next *flight
-	// turn counts the attempts, so that an old entry of a list is told from a new one.
-	turn     uint32
+	// prev and next form the list of the attempts on one backend server.
+	prev, next *attempt
+	// number counts the attempts at the task, so that an outdated entry of recentAttempts is recognised.
+	number   uint32
 	width    uint32
 	long     bool
 	estimate time.Duration
-	// busy is the busy period of the queue that the slot time was charged in.
-	busy        uint64
+	// busyPeriod is the busy period of the queue in which the estimated run time was charged to the partner.
+	busyPeriod  uint64
 	incarnation string
 	lateAt      time.Time
-	// asked is when the open ask or revoke was sent; askSince when the first of the attempt was.
-	asked    time.Time
-	askSince time.Time
-	// checkAt is when the newest check is due.
+	// queriedAt is when the unanswered query or revoke was sent; firstQueriedAt is when the first query of the
+	// attempt was sent.
+	queriedAt      time.Time
+	firstQueriedAt time.Time
+	// checkAt is when the latest timerCheck is due; earlier ones are outdated.
 	checkAt  time.Time
 	refusals int
-	// duplicate is set if the backend server refused the start because it has the task already.
+	// duplicate is true if the backend server refused the start because it has the task already.
 	duplicate bool
 }
 
-func (flt *flight) task() *job.Task { return flt.jst.job.Task(flt.idx) }
+// task returns the task of the attempt.
+func (att *attempt) task() *job.Task { return att.jst.job.Task(att.idx) }
 
-// server is a backend server with its session.
+// server is the state of a backend server and of the session to it.
 type server struct {
 	id          ServerID
 	acct        *slot.Server
@@ -102,78 +107,83 @@
 	incarnation string
 	up          bool
 	listed      bool
-	// leaving is the server's own word; the list's word is in info.
-	leaving bool
-	heard   time.Time
-	renewed time.Time
-	flights *flight
-	// session counts the sessions that ended, so that a timer knows whether it is stale.
+	// leaving is as in the server's last report; info.Leaving is as in the list.
+	leaving  bool
+	heard    time.Time
+	renewed  time.Time
+	attempts *attempt
+	// session counts the ended sessions, so that a timerUnreachable of an earlier one is recognised.
 	session      uint64
 	reconnecting bool
 	pause        time.Duration
-	// refusedConns counts connections in a row that were never made.
-	refusedConns int
-	trustUntil   time.Time
-	fault        fault.Server
-	indebted     bool
+	// refusedConns counts the refused connections since the last session.
+	refusedConns     int
+	reportValidUntil time.Time
+	fault            fault.Server
+	inBorrowed       bool
 }
 
+// open reports whether new tasks may be started on the server.
 func (srv *server) open() bool {
 	return srv.up && srv.listed && !srv.leaving && !srv.info.Leaving && srv.fault.State() != fault.Ejected
 }
 
-func (srv *server) link(flt *flight) {
-	flt.srv = srv
-	flt.prev = nil
-	flt.next = srv.flights
-	if srv.flights != nil {
-		srv.flights.prev = flt
+// link adds an attempt to those on the server.
+func (srv *server) link(att *attempt) {
+	att.srv = srv
+	att.prev = nil
+	att.next = srv.attempts
+	if srv.attempts != nil {
+		srv.attempts.prev = att
 	}
-	srv.flights = flt
+	srv.attempts = att
 }
 
-func (srv *server) unlink(flt *flight) {
-	if flt.prev != nil {
-		flt.prev.next = flt.next
+// unlink removes an attempt from those on the server.
+func (srv *server) unlink(att *attempt) {
+	if att.prev != nil {
+		att.prev.next = att.next
 	} else {
-		srv.flights = flt.next
+		srv.attempts = att.next
 	}
-	if flt.next != nil {
-		flt.next.prev = flt.prev
+	if att.next != nil {
+		att.next.prev = att.prev
 	}
-	flt.prev, flt.next, flt.srv = nil, nil, nil
+	att.prev, att.next, att.srv = nil, nil, nil
 }
 
-// each calls fun for every flight on the server; fun may unlink the flight it is given.
-func (srv *server) each(fun func(flt *flight)) {
-	for flt := srv.flights; flt != nil; {
-		nxt := flt.next
-		fun(flt)
-		flt = nxt
+// each calls fun for every attempt on the server; fun may unlink the attempt that it is given.
+func (srv *server) each(fun func(att *attempt)) {
+	for att := srv.attempts; att != nil; {
+		nxt := att.next
+		fun(att)
+		att = nxt
 	}
 }
 
-// peer is what is believed of another entry instance.
+// peer is another entry instance, as far as its messages tell.
 type peer struct {
 	id    PeerID
 	local bool
-	// free is how many slots it had idle at that time; it is not known if the time is zero.
+	// free is how many slots the peer could lend at freeAt; not known if freeAt is zero.
 	free   uint32
 	freeAt time.Time
-	// pause is the first back-off, by the style of the last request; misses counts the requests
-	// in a row that brought nothing.
-	pause  time.Duration
-	misses int
-	// notBefore is when it may be asked again.
+	// pause is the back-off of the policy of the last request; emptyReplies counts the requests in a row that
+	// brought no slots.
+	pause        time.Duration
+	emptyReplies int
+	// notBefore is when the peer may be asked for slots again.
 	notBefore time.Time
-	// asked is when the open request was sent, and want what it asked for.
-	asked time.Time
-	want  uint32
-	// owed is what it asked for beyond what was idle; the request stands until owedUntil.
-	owed      uint32
-	owedUntil time.Time
-	offered   time.Time
-	// runTime is that of the tasks it has waiting, and style how it asked.
+	// requestedAt is when the open request was sent, zero if none is open; requested is how many slots it asked
+	// for.
+	requestedAt time.Time
+	requested   uint32
+	// unmet is how many slots the peer's request asked for beyond those lent; the request stays open until
+	// unmetUntil.
+	unmet      uint32
+	unmetUntil time.Time
+	offeredAt  time.Time
+	// runTime is the run time of the peer's waiting tasks; policy is the one that its last request implies.
 	runTime time.Duration
-	style   *LoanPolicy
+	policy  *LoanPolicy
 }
--- a/internal/request/dispatch/stats.go
+++ b/internal/request/dispatch/stats.go
@@ -1,26 +1,26 @@
 package dispatch
 
-// Stats counts what a Dispatcher has and what it sent and received, for expvar and reports.
+// Stats holds the counters of a Dispatcher and its current counts, for expvar and reports.
 type Stats struct {
-	// Jobs, Waiting, InFlight, Free, Lent, Borrowed, LongInFlight and EjectedServers are counts of
-	// now; Waiting counts tasks, the following three slots.
+	// Jobs, Waiting, InFlight, Free, Lent, Borrowed and EjectedServers are current counts: Waiting in tasks,
+	// InFlight, Free, Lent and Borrowed in slots.
 	Jobs, Waiting, InFlight, Free, Lent, Borrowed, EjectedServers int
 
 	JobsAdmitted, JobsRefused, JobsEnded uint64
-	// Starts and Results are the useful messages; a result counts once by task.
+	// Starts and Results count the useful messages, one for each task; Results includes duplicate and late ones.
 	Starts, Results uint64
-	// Refusals counts starts that a backend server refused, Retries the new attempts.
+	// Refusals counts the starts that backend servers refused, Retries the new attempts after a refusal.
 	Refusals, Retries uint64
-	// LateAnswers counts answers that were dropped: late, doubled or crossed.
-	LateAnswers                            uint64
-	Queries, Statuses, Revokes, Stops, Renewals uint64
-	Reconnects, Lost, Ejections, Pauses    uint64
+	// LateAnswers counts the answers that were ignored as late, duplicate or outdated.
+	LateAnswers                                      uint64
+	Queries, Statuses, Revokes, Stops, Renewals      uint64
+	Reconnects, Lost, Ejections, Pauses              uint64
 	Borrows, BorrowsReceived, Grants, GrantsReceived uint64
-	Offers, Returns, ReturnsReceived       uint64
-	SlotsBorrowed, SlotsLent               uint64
+	Offers, Returns, ReturnsReceived                 uint64
+	SlotsBorrowed, SlotsLent                         uint64
 }
 
-// Snapshot returns the counts of now.
+// Snapshot returns the counters with the current counts.
 func (dsp *Dispatcher) Snapshot() Stats {
 	sta := dsp.stats
 	sta.Jobs = len(dsp.jobs)
--- a/internal/request/dispatch/stop_test.go
+++ b/internal/request/dispatch/stop_test.go
@@ -22,8 +22,8 @@
 	return func(job.TaskID) (time.Duration, bool) { return run, false }
 }
 
-// A task that runs longer than its lease is ended by the backend server unless the lease is
-// renewed: the user would see a long export cut short. One message renews all tasks on a server.
+// Guards against long tasks that are stopped in the middle because nothing renewed their leases. One message
+// renews the leases of all tasks on a server.
 func TestLongTasksKeepTheirLease(tst *testing.T) {
 	iss := is.New(tst)
 	cls := newCluster(tiny, dispatch.DefaultConfig(), 1)
@@ -42,8 +42,8 @@
 	iss.True(ent.dsp.Snapshot().Renewals <= most) // every half lease, not for every task
 }
 
-// An entry instance that is told to stop must finish what it has, take nothing new, say that the
-// new job did not run, and give borrowed slots back.
+// An instance that drains must finish its jobs, refuse new ones with not-run and a retry time, and give borrowed
+// slots back.
 func TestDrainFinishesOpenJobs(tst *testing.T) {
 	iss := is.New(tst)
 	cls := newCluster(tiny, dispatch.DefaultConfig(), 1)
@@ -67,8 +67,8 @@
 	iss.Equal(ent.dsp.Snapshot().Borrowed, 0)
 }
 
-// A wave of cancels must not flood: one batch goes to each backend server, and tasks that wait
-// cost no message at all.
+// Cancelling large jobs must not flood the network: one batch of stops goes to each backend server, and waiting
+// tasks cost no message.
 func TestCancelSendsOneStopBatchPerServer(tst *testing.T) {
 	iss := is.New(tst)
 	cls := newCluster(tiny, dispatch.DefaultConfig(), 1)
--- a/internal/request/dispatch/timer.go
+++ b/internal/request/dispatch/timer.go
@@ -5,46 +5,47 @@
 type timerKind uint8
 
 const (
-	// timerCheck looks at a flight whose answer is missing.
+	// timerCheck checks an attempt whose answer is missing.
 	timerCheck timerKind = iota
-	// timerRetry puts a refused task back into the queue.
+	// timerRetry requeues a refused task.
 	timerRetry
-	// timerDeadline ends a job whose tasks waited past its not-after time.
+	// timerDeadline ends a job that has waiting tasks at its not-after time.
 	timerDeadline
-	// timerRelease gives back the limits of a lost task once its lease has surely ended.
+	// timerRelease releases the units of limits of a lost task, once its lease has surely expired.
 	timerRelease
 	// timerReconnect opens the next connection to a backend server.
 	timerReconnect
-	// timerGiveUp loses the tasks of a backend server that stayed unreachable.
-	timerGiveUp
-	// timerLoan ends the loans of a backend server that ran out.
+	// timerUnreachable loses the tasks of a backend server that stayed unreachable.
+	timerUnreachable
+	// timerLoan ends the expired loans of a backend server.
 	timerLoan
-	// timerTrust ends the trust in the free count that a backend server reported.
-	timerTrust
-	// timerProbe tries an ejected backend server again.
+	// timerReportExpiry ends the precedence of the free slots that a backend server reported.
+	timerReportExpiry
+	// timerProbe starts to probe an ejected backend server.
 	timerProbe
-	// timerParked tries jobs again that a limit held back.
+	// timerParked tries a job again that a limit blocked.
 	timerParked
-	// timerWide keeps a backend server for a task of several slots.
+	// timerWide reserves a backend server for a task of several slots.
 	timerWide
-	// timerBorrow looks at loans: asks that went unanswered, needs that have grown, idle loans.
+	// timerBorrow makes borrowing, returning and offering be considered again: a request timed out, tasks waited
+	// longer, or borrowed slots stayed idle.
 	timerBorrow
 )
 
-// timer is an event that is due. It may be stale when it fires: the handler checks.
+// timer is a timed event. It may be outdated when it fires, which its handler checks.
 type timer struct {
 	at   time.Time
 	kind timerKind
 	srv  *server
-	flt  *flight
+	att  *attempt
 	jst  *jobState
 	dln  *deadline
 	park *park
-	// num is the session of a backend server, or the index of a task.
+	// num is the session count of a backend server, or the index of a task.
 	num uint64
 }
 
-// timers is a binary heap by time.
+// timers is a binary heap ordered by time.
 type timers []timer
 
 func (tms *timers) push(tmr timer) {
--- a/internal/request/dispatch/wide_test.go
+++ b/internal/request/dispatch/wide_test.go
@@ -11,9 +11,8 @@
 	"chestnutstack/internal/request/job"
 )
 
-// A task that takes half of a backend server must not wait for ever behind a stream of narrow
-// tasks that take every single slot as it comes free: a user would see one export never start
-// while thumbnails go on. A backend server is kept for it until enough slots are free.
+// Guards against starvation of a task that needs half of a backend server while a stream of one-slot tasks takes
+// every slot that comes free. A backend server must be reserved for the wide task until enough slots are free.
 func TestWideTaskIsNotStarved(tst *testing.T) {
 	iss := is.New(tst)
 	shp := tiny
@@ -42,5 +41,5 @@
 	})
 	err := cls.entries[0].dsp.Submit(cls.now, never)
 	iss.Equal(err.Reason(), "no-worker-fits")
-	iss.Equal(cls.doubles, 0)
+	iss.Equal(cls.doubleStarts, 0)
 }
--- a/internal/request/dispatch/workload_test.go
+++ b/internal/request/dispatch/workload_test.go
@@ -14,7 +14,7 @@
 	maxTask = time.Second
 )
 
-// simJob is a job of the workload with its real run times.
+// simJob is a job of the workload with the actual run times of its tasks.
 type simJob struct {
 	sub     job.SubmissionID
 	due     time.Time
@@ -27,25 +27,25 @@
 	verdict string
 }
 
-// workload is a seeded list of jobs that every policy is given alike.
+// workload is a list of jobs generated from a seed; every policy gets the same one.
 type workload struct {
 	jobs    []*simJob
 	bySub   map[job.SubmissionID]*simJob
 	classes []*job.Class
 }
 
-// traffic describes a workload.
+// traffic holds the parameters of a workload.
 type traffic struct {
 	load     float64
 	duration time.Duration
-	// skew is the share of the jobs that all go to entry 0.
+	// skew is the share of the jobs that are submitted to entry 0; the others are spread over all entries.
 	skew   float64
 	prefer job.Preference
 	// burst multiplies the load of the first partner in the middle third.
 	burst float64
 	// single makes every job a single task.
 	single bool
-	// misdeclared is the spread of the logarithm of declared over real run times.
+	// misdeclared is the standard deviation of the logarithm of the ratio of declared to actual run times.
 	misdeclared float64
 }
 
@@ -92,7 +92,7 @@
 	return since > trf.duration/3 && since < 2*trf.duration/3
 }
 
-// makeClasses makes catalogue entries of two partners in turn; the last two are long.
+// makeClasses creates catalogue entries, alternating between two partners; the last two have long run times.
 func (wkl *workload) makeClasses(rnd *rand.Rand, trf traffic) []classShape {
 	var shapes []classShape
 	for idx := range 12 {
@@ -153,7 +153,7 @@
 	}
 }
 
-// meanWork is the mean slot time of a job, in seconds, from a sample of its own.
+// meanWork returns the mean run time of all tasks of a job, in seconds, from a sample of its own.
 func (wkl *workload) meanWork(shapes []classShape, trf traffic, seed uint64) float64 {
 	rnd := rand.New(rand.NewPCG(seed, 78))
 	var tot time.Duration
@@ -166,7 +166,7 @@
 	return tot.Seconds() / sample
 }
 
-// job returns the submission as an entry takes it.
+// job returns the job in the form in which it is submitted to an entry.
 func (sjb *simJob) job(now time.Time) *job.Job {
 	spc := job.Spec{
 		Submission: sjb.sub, Class: sjb.class, Repeatable: true, Admitted: now,
--- a/internal/request/slot/file.go
+++ b/internal/request/slot/bucket.go
@@ -1,27 +1,29 @@
 package slot
 
-func (pol *Pool) file(srv *Server) {
+// addToBucket puts the server into the bucket of its free slots, and adds these to the totals.
+func (pol *Pool) addToBucket(srv *Server) {
 	if srv.removed {
-		// A timer may still hold a server that is gone.
+		// A timer may still reference a server that was removed.
 		return
 	}
 	free := srv.Free()
 	srv.bucket = int(min(free, topBucket))
-	srv.filed = free
+	srv.freeInBucket = free
 	if srv.bucket == 0 {
 		return
 	}
 	grp := srv.group
 	srv.pos = len(grp.buckets[srv.bucket])
 	grp.buckets[srv.bucket] = append(grp.buckets[srv.bucket], srv)
-	grp.filled |= 1 << srv.bucket
+	grp.nonEmpty |= 1 << srv.bucket
 	pol.free += free
 	if srv.home {
 		pol.homeFree += free
 	}
 }
 
-func (pol *Pool) unfile(srv *Server) {
+// removeFromBucket removes the server from its bucket, and its free slots from the totals.
+func (pol *Pool) removeFromBucket(srv *Server) {
 	if srv.bucket == 0 {
 		return
 	}
@@ -33,11 +35,11 @@
 	bkt[last] = nil
 	grp.buckets[srv.bucket] = bkt[:last]
 	if last == 0 {
-		grp.filled &^= 1 << srv.bucket
+		grp.nonEmpty &^= 1 << srv.bucket
 	}
-	pol.free -= srv.filed
+	pol.free -= srv.freeInBucket
 	if srv.home {
-		pol.homeFree -= srv.filed
+		pol.homeFree -= srv.freeInBucket
 	}
 	srv.bucket = 0
 }
--- a/internal/request/slot/doc.go
+++ b/internal/request/slot/doc.go
@@ -1,5 +1,5 @@
-// Package slot keeps account of which slots of which backend server this entry instance may use:
-// those of its own backend servers, less what it lent, and those that it borrowed.
+// Package slot accounts for the slots of backend servers that this entry instance may use: those of the servers
+// assigned to it, less the lent ones, and those borrowed from other instances.
 //
-// It is pure, and picks a backend server in constant time whatever their number.
+// It does no input or output, and picks a backend server in time that doesn't depend on the number of servers.
 package slot
--- a/internal/request/slot/fuzz_test.go
+++ b/internal/request/slot/fuzz_test.go
@@ -8,8 +8,7 @@
 	"chestnutstack/internal/request/slot"
 )
 
-// The slots that a task is given must hold what it needs, and one slot fewer must not, whatever
-// an operator declares.
+// For any declared capacity, the slots of a task's width must hold what it needs, and one slot fewer must not.
 func FuzzWidth(fuz *testing.F) {
 	fuz.Add(uint32(8), uint64(128<<30), uint64(16<<30))
 	fuz.Add(uint32(8), uint64(3), uint64(2))
@@ -31,7 +30,7 @@
 	})
 }
 
-// holds reports whether so many slots are at least the share that the need is of the capacity.
+// holds reports whether wid of all slots is at least the share need/capacity.
 func holds(wid, slots uint32, capacity, need uint64) bool {
 	hiw, low := bits.Mul64(uint64(wid), capacity)
 	hin, lon := bits.Mul64(uint64(slots), need)
--- a/internal/request/slot/pool.go
+++ b/internal/request/slot/pool.go
@@ -9,20 +9,20 @@
 	"chestnutstack/internal/request/job"
 )
 
-// topBucket holds every server with that many free slots or more, so that a machine word tells
-// which buckets have servers.
+// topBucket is the bucket of all servers with that many free slots or more, so that a 64-bit mask tells which
+// buckets have servers.
 const topBucket = 63
 
-// Pool files backend servers by shape and free slots.
+// Pool holds the accounts of all backend servers, grouped by shape and sorted into buckets by free slots.
 type Pool struct {
 	rnd     *rand.Rand
 	servers map[string]*Server
 	racks   map[string]*rack
 	shapes  []Shape
-	// groups holds the servers of the own failure domain before the others.
+	// groups has the groups of the own failure domain before the others.
 	groups []*group
 	free   uint32
-	// homeFree is the part of free on own backend servers.
+	// homeFree is the part of free on the backend servers assigned to this instance.
 	homeFree uint32
 	home     uint32
 	inUse    uint32
@@ -30,13 +30,14 @@
 }
 
 type group struct {
-	shape   int
-	local   bool
-	buckets [topBucket + 1][]*Server
-	filled  uint64
+	shape    int
+	local    bool
+	buckets  [topBucket + 1][]*Server
+	nonEmpty uint64
 }
 
-// Params describes a backend server to Put.
+// Params describes a backend server to Put. Local is true for a server in the failure domain of this instance,
+// Home for one assigned to it.
 type Params struct {
 	ID    string
 	Rack  string
@@ -45,40 +46,40 @@
 	Shape Shape
 }
 
-// New returns an empty Pool that breaks ties by the generator.
+// New returns an empty Pool; rnd chooses among equally good backend servers.
 func New(rnd *rand.Rand) *Pool {
 	return &Pool{rnd: rnd, servers: map[string]*Server{}, racks: map[string]*rack{}}
 }
 
-// Server returns the account of a backend server, or nil.
+// Server returns the account of the backend server with the ID, or nil if it isn't known.
 func (pol *Pool) Server(id string) *Server { return pol.servers[id] }
 
-// Shapes returns the shapes seen so far; their order does not change.
+// Shapes returns the shapes of all backend servers added so far; the order doesn't change.
 func (pol *Pool) Shapes() []Shape { return pol.shapes }
 
-// Free returns how many slots may be used now.
+// Free returns how many slots this instance may use now, on all backend servers.
 func (pol *Pool) Free() uint32 { return pol.free }
 
-// HomeSlots returns the slots of the backend servers that have their home here.
+// HomeSlots returns the number of slots of the backend servers assigned to this instance, free or not.
 func (pol *Pool) HomeSlots() uint32 { return pol.home }
 
-// HomeFree returns how many slots of own backend servers may be used now.
+// HomeFree returns how many slots may be used now on the backend servers assigned to this instance.
 func (pol *Pool) HomeFree() uint32 { return pol.homeFree }
 
-// Lent returns how many own slots are lent.
+// Lent returns how many slots are lent to peers.
 func (pol *Pool) Lent() uint32 { return pol.lent }
 
-// InUse returns the slots that this entry instance uses.
+// InUse returns how many slots the tasks of this instance use.
 func (pol *Pool) InUse() uint32 { return pol.inUse }
 
-// Put adds a backend server or changes what is known of it; its slots in use and loans stay.
+// Put adds a backend server or updates its description; its slots in use and its loans stay.
 func (pol *Pool) Put(par Params) *Server {
 	srv := pol.servers[par.ID]
 	if srv == nil {
 		srv = &Server{id: par.ID}
 		pol.servers[par.ID] = srv
 	}
-	pol.unfile(srv)
+	pol.removeFromBucket(srv)
 	if srv.home {
 		pol.home -= srv.slots
 	}
@@ -89,24 +90,25 @@
 	}
 	pol.setRack(srv, par.Rack)
 	srv.group = pol.groupOf(pol.shapeOf(par.Shape), par.Local)
-	pol.file(srv)
+	pol.addToBucket(srv)
 	return srv
 }
 
-// Remove forgets a backend server.
+// Remove removes a backend server and its slots from all counts.
 func (pol *Pool) Remove(srv *Server) {
-	pol.unfile(srv)
+	pol.removeFromBucket(srv)
 	if srv.home {
 		pol.home -= srv.slots
 	}
-	pol.inUse -= srv.inFlight
+	pol.inUse -= srv.inUse
 	pol.lent -= srv.lentSum
-	srv.rack.inFlight -= int(srv.inFlight)
+	srv.rack.inUse -= int(srv.inUse)
 	srv.removed = true
 	delete(pol.servers, srv.id)
 }
 
-// Widths returns for each shape the slots that a task takes, 0 where it never fits.
+// Widths returns for each shape the number of slots that a task with these needs takes, or 0 where it never fits.
+// The result reuses the memory of into.
 func (pol *Pool) Widths(nds job.Needs, into []uint32) []uint32 {
 	into = into[:0]
 	for _, shp := range pol.shapes {
@@ -115,16 +117,17 @@
 	return into
 }
 
-// Pick returns the backend server with the most free slots for a task of these widths, the own
-// failure domain first, or nil. Of two candidates the one in the idler rack wins, which spreads a
-// job over racks at no cost in the number of servers.
+// Pick returns the backend server with the most free slots for a task of these widths and the task's width there,
+// or nil if the task fits nowhere now. Servers of the own failure domain come first. Of two random candidates with
+// the most free slots, the one whose rack has fewer slots in use is taken, which spreads a job over racks in
+// constant time.
 func (pol *Pool) Pick(widths []uint32) (*Server, uint32) {
 	for _, grp := range pol.groups {
 		wid := widths[grp.shape]
-		if wid == 0 || grp.filled == 0 {
+		if wid == 0 || grp.nonEmpty == 0 {
 			continue
 		}
-		top := bits.Len64(grp.filled) - 1
+		top := bits.Len64(grp.nonEmpty) - 1
 		if top < int(min(wid, topBucket)) {
 			continue
 		}
@@ -136,83 +139,87 @@
 	return nil, 0
 }
 
+// choose returns one of two random servers of the bucket, that in the rack with fewer slots in use.
 func (pol *Pool) choose(bkt []*Server) *Server {
 	if len(bkt) == 1 {
 		return bkt[0]
 	}
 	one := bkt[pol.rnd.IntN(len(bkt))]
 	two := bkt[pol.rnd.IntN(len(bkt))]
-	if two.rack.inFlight < one.rack.inFlight {
+	if two.rack.inUse < one.rack.inUse {
 		return two
 	}
 	return one
 }
 
-// Acquire takes slots for a task.
+// Acquire takes num slots of a backend server for a task.
 func (pol *Pool) Acquire(srv *Server, num uint32) {
-	srv.inFlight += num
-	srv.rack.inFlight += int(num)
+	srv.inUse += num
+	srv.rack.inUse += int(num)
 	pol.inUse += num
-	pol.refile(srv)
+	pol.updateBucket(srv)
 }
 
-// Release gives the slots of a task back.
+// Release gives back num slots that a task used.
 func (pol *Pool) Release(srv *Server, num uint32) {
-	num = min(num, srv.inFlight)
-	srv.inFlight -= num
-	srv.rack.inFlight -= int(num)
+	num = min(num, srv.inUse)
+	srv.inUse -= num
+	srv.rack.inUse -= int(num)
 	pol.inUse -= num
-	pol.refile(srv)
+	pol.updateBucket(srv)
 }
 
-// SetOpen says whether new tasks may go to the backend server at all.
+// SetOpen sets whether new tasks may be started on the backend server.
 func (pol *Pool) SetOpen(srv *Server, open bool) {
 	srv.open = open
-	pol.refile(srv)
+	pol.updateBucket(srv)
 }
 
-// SetMaxInUse bounds the slots in use; 0 lifts the bound.
+// SetMaxInUse sets the upper bound of the slots in use and lent on a backend server; 0 removes the bound.
 func (pol *Pool) SetMaxInUse(srv *Server, num uint32) {
-	srv.ceiling = num
-	pol.refile(srv)
+	srv.maxInUse = num
+	pol.updateBucket(srv)
 }
 
-// SetReportedFree takes over the free count that the backend server reported.
+// SetReportedFree computes from the count of free slots that the backend server reported how many slots other
+// instances use.
 //
-// A start that is still on its way is counted in inFlight but not by the server, so that what is
-// left over is a lower bound of what others use: it never makes up a user that is not there. Loans
-// that have ended hold no more than that, since nothing new starts on them.
+// A start that is still on its way is counted in inUse here but not by the server. So the difference is a lower
+// bound of what others use, and never more than they do use. Loans that have ended hold no more slots than that,
+// since nothing new starts on them.
 func (pol *Pool) SetReportedFree(srv *Server, now time.Time, free uint32) {
-	srv.foreign = less(srv.slots, min(free, srv.slots)+srv.inFlight)
-	if srv.lentSum > srv.foreign {
-		srv.lent = trim(srv.lent, now, srv.foreign)
+	srv.usedByOthers = subtractOrZero(srv.slots, min(free, srv.slots)+srv.inUse)
+	if srv.lentSum > srv.usedByOthers {
+		srv.lent = trimEnded(srv.lent, now, srv.usedByOthers)
 		pol.sumLent(srv)
 	}
-	pol.refile(srv)
+	pol.updateBucket(srv)
 }
 
+// sumLent updates the totals of lent slots after a change of the server's loans.
 func (pol *Pool) sumLent(srv *Server) {
 	pol.lent -= srv.lentSum
 	srv.lentSum = sum(srv.lent)
 	pol.lent += srv.lentSum
 }
 
-// ForgetReport forgets what others use: a report grows old, and the next refusal brings a new one.
+// ForgetReport sets the slots that others use to none, since the last report is out of date; the next refusal
+// brings a new report.
 func (pol *Pool) ForgetReport(srv *Server) {
-	srv.foreign = 0
-	pol.refile(srv)
+	srv.usedByOthers = 0
+	pol.updateBucket(srv)
 }
 
-// UsedByOthers returns how many slots others are believed to use.
-func (srv *Server) UsedByOthers() uint32 { return srv.foreign }
+// UsedByOthers returns how many slots other instances use at least, by the last report.
+func (srv *Server) UsedByOthers() uint32 { return srv.usedByOthers }
 
-// Lend lends up to as many free slots of own backend servers as the loan names, the freest first,
-// and calls each for every backend server.
+// Lend lends up to lon.Slots free slots of the backend servers assigned to this instance, those with the most free
+// slots first, and calls each for every server with the number of slots lent.
 func (pol *Pool) Lend(lon Loan, each func(srv *Server, slots uint32)) {
 	num := lon.Slots
 	for _, grp := range pol.groups {
 		for top := topBucket; top > 0 && num > 0; top-- {
-			// A loan refiles the server, so that the bucket changes under the loop.
+			// A loan moves the server to another bucket, so that the bucket changes during the loop.
 			for _, srv := range slices.Clone(grp.buckets[top]) {
 				lon.Slots = num
 				num -= pol.lendOne(srv, lon, each)
@@ -221,6 +228,7 @@
 	}
 }
 
+// lendOne lends free slots of one server and returns how many.
 func (pol *Pool) lendOne(srv *Server, lon Loan, each func(*Server, uint32)) uint32 {
 	cut := min(srv.Free(), lon.Slots)
 	if !srv.home || cut == 0 {
@@ -230,51 +238,52 @@
 	srv.lent = append(srv.lent, lon)
 	srv.lentSum += cut
 	pol.lent += cut
-	if srv.foreign > 0 {
-		// What others used before the loan does not use the loan.
-		srv.foreign += cut
+	if srv.usedByOthers > 0 {
+		// usedByOthers was reported before the loan, so that the lent slots are still free.
+		srv.usedByOthers += cut
 	}
-	pol.refile(srv)
+	pol.updateBucket(srv)
 	each(srv, cut)
 	return cut
 }
 
-// Borrow adds slots that a peer lent.
+// Borrow adds slots of a backend server that a peer lends until the given time.
 func (pol *Pool) Borrow(srv *Server, peer string, num uint32, until time.Time) {
 	srv.borrowed = append(srv.borrowed, Loan{Peer: peer, Slots: num, Until: until, DrainedAt: until})
 	srv.borrowedSum += num
-	pol.refile(srv)
+	pol.updateBucket(srv)
 }
 
-// Expire ends the loans, both ways, that ran out.
+// Expire ends the expired loans of a backend server, lent ones (by DrainedAt) and borrowed ones.
 func (pol *Pool) Expire(srv *Server, now time.Time) {
 	srv.lent = undrained(srv.lent, now)
 	pol.sumLent(srv)
 	srv.borrowed = undrained(srv.borrowed, now)
 	srv.borrowedSum = sum(srv.borrowed)
-	pol.refile(srv)
+	pol.updateBucket(srv)
 }
 
-// TakeBack takes back slots that a peer had borrowed and returns how many they were.
+// TakeBack takes back up to num slots that the peer borrowed and returns how many they were.
 func (pol *Pool) TakeBack(srv *Server, peer string, num uint32) uint32 {
-	kept, taken := give(srv.lent, peer, num)
+	kept, taken := takeFrom(srv.lent, peer, num)
 	srv.lent = kept
 	srv.lentSum -= taken
 	pol.lent -= taken
-	srv.foreign = less(srv.foreign, taken)
-	pol.refile(srv)
+	srv.usedByOthers = subtractOrZero(srv.usedByOthers, taken)
+	pol.updateBucket(srv)
 	return taken
 }
 
-// GiveBack ends the use of up to num slots that were borrowed from a peer.
+// GiveBack ends the use of up to num slots that were borrowed from the peer and returns how many they were.
 func (pol *Pool) GiveBack(srv *Server, peer string, num uint32) uint32 {
-	kept, taken := give(srv.borrowed, peer, num)
+	kept, taken := takeFrom(srv.borrowed, peer, num)
 	srv.borrowed = kept
 	srv.borrowedSum -= taken
-	pol.refile(srv)
+	pol.updateBucket(srv)
 	return taken
 }
 
+// shapeOf returns the index of the shape, which it adds if it is new.
 func (pol *Pool) shapeOf(shp Shape) int {
 	if idx := slices.Index(pol.shapes, shp); idx >= 0 {
 		return idx
@@ -283,6 +292,7 @@
 	return len(pol.shapes) - 1
 }
 
+// groupOf returns the group of servers of the shape and location, and creates it if necessary.
 func (pol *Pool) groupOf(shape int, local bool) *group {
 	for _, grp := range pol.groups {
 		if grp.shape == shape && grp.local == local {
@@ -304,6 +314,7 @@
 	return grp
 }
 
+// setRack moves the server to the named rack.
 func (pol *Pool) setRack(srv *Server, name string) {
 	rck := pol.racks[name]
 	if rck == nil {
@@ -311,42 +322,45 @@
 		pol.racks[name] = rck
 	}
 	if srv.rack != nil {
-		srv.rack.inFlight -= int(srv.inFlight)
+		srv.rack.inUse -= int(srv.inUse)
 	}
-	rck.inFlight += int(srv.inFlight)
+	rck.inUse += int(srv.inUse)
 	srv.rack = rck
 }
 
-func (pol *Pool) refile(srv *Server) {
-	pol.unfile(srv)
-	pol.file(srv)
+// updateBucket moves the server to the bucket of its current free slots; it is called after each change of an
+// account.
+func (pol *Pool) updateBucket(srv *Server) {
+	pol.removeFromBucket(srv)
+	pol.addToBucket(srv)
 }
 
-// Reserve keeps a backend server on which a task of these widths could fit: nothing else is picked on
-// it. The one with the fewest slots in use is taken.
+// Reserve reserves a backend server for a task of these widths, so that Pick doesn't choose it and its free slots
+// accumulate. Of the servers assigned to this instance on which the task could fit, the one with the fewest slots
+// in use is taken; nil if there is none.
 func (pol *Pool) Reserve(widths []uint32) *Server {
 	var best *Server
 	for _, srv := range pol.servers {
 		wid := widths[srv.group.shape]
-		if wid == 0 || !srv.open || !srv.home || srv.held {
+		if wid == 0 || !srv.open || !srv.home || srv.reserved {
 			continue
 		}
-		if best == nil || srv.inFlight < best.inFlight || srv.inFlight == best.inFlight && srv.id < best.id {
+		if best == nil || srv.inUse < best.inUse || srv.inUse == best.inUse && srv.id < best.id {
 			best = srv
 		}
 	}
 	if best != nil {
-		best.held = true
-		pol.refile(best)
+		best.reserved = true
+		pol.updateBucket(best)
 	}
 	return best
 }
 
-// Unreserve lets go of a backend server that Hold kept.
+// Unreserve ends a reservation by Reserve.
 func (pol *Pool) Unreserve(srv *Server) {
-	srv.held = false
-	pol.refile(srv)
+	srv.reserved = false
+	pol.updateBucket(srv)
 }
 
-// WidthOn returns the slots that a task of these widths takes on a backend server.
+// WidthOn returns how many slots a task of these widths takes on the backend server.
 func (pol *Pool) WidthOn(srv *Server, widths []uint32) uint32 { return widths[srv.group.shape] }
--- a/internal/request/slot/pool_test.go
+++ b/internal/request/slot/pool_test.go
@@ -57,8 +57,8 @@
 	return pol, servers
 }
 
-// The totals and the buckets must agree with the accounts of the servers after any course of
-// events, or slots are lost or given out twice without anybody noticing.
+// Guards against slots that are lost or given out twice: after any sequence of events the totals and buckets must
+// agree with the accounts of the servers.
 func TestBooksBalance(tst *testing.T) {
 	rapid.Check(tst, func(tst *rapid.T) {
 		pol, servers := newPool(4, 6)
@@ -134,7 +134,7 @@
 	iss.True(srv == servers[1] || srv == servers[3]) // two slots are free in the other one only
 }
 
-// One placement decision must not get slower with the number of backend servers.
+// Measures one placement decision; its time must not grow with the number of backend servers.
 func BenchmarkPlace(bch *testing.B) {
 	for _, num := range []int{50, 500, 3700} {
 		bch.Run(fmt.Sprint("servers-", num), func(bch *testing.B) {
--- a/internal/request/slot/seed_test.go
+++ b/internal/request/slot/seed_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the properties, so that CI gives the same verdict each run; -rapid.seed
-// and -rapid.checks on the command line go before it.
+// TestMain fixes the seed of the property tests, so that CI gives the same result in each run; -rapid.seed and
+// -rapid.checks on the command line take precedence.
 func TestMain(tst *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	os.Exit(tst.Run())
--- a/internal/request/slot/server.go
+++ b/internal/request/slot/server.go
@@ -5,102 +5,106 @@
 	"time"
 )
 
-// Server is the account of one backend server.
+// Server is the account of the slots of one backend server.
 type Server struct {
 	id    string
 	rack  *rack
 	group *group
-	// bucket and pos say where the server is filed; bucket 0 is filed nowhere.
+	// bucket and pos are the place of the server in its group; bucket 0 means that it is in no bucket.
 	bucket int
 	pos    int
-	// filed is how many free slots the server was filed with.
-	filed uint32
-
-	slots    uint32
-	inFlight uint32
-	home     bool
-	open     bool
-	// held is set while the server is kept for a task of several slots.
-	held    bool
-	removed bool
-	// ceiling bounds the slots in use while the server is probed; 0 is no bound.
-	ceiling uint32
-	// foreign is how many slots others use, as far as the server's last report proves it.
-	foreign uint32
-	lent    []Loan
-	lentSum uint32
-	// borrowed slots of each peer, with the time after which they start nothing new.
+	// freeInBucket is how many free slots the server had when it was put into its bucket.
+	freeInBucket uint32
+
+	slots uint32
+	inUse uint32
+	home  bool
+	open  bool
+	// reserved is true while the server is reserved for a task of several slots.
+	reserved bool
+	removed  bool
+	// maxInUse is the upper bound of the slots in use and lent while the server is probed; 0 is no bound.
+	maxInUse uint32
+	// usedByOthers is how many slots other instances use at least, by the server's last report.
+	usedByOthers uint32
+	lent         []Loan
+	lentSum      uint32
+	// borrowed holds the loans from peers, with the times after which no task starts on them.
 	borrowed    []Loan
 	borrowedSum uint32
 }
 
-// Loan is a number of slots of one backend server that one peer lends or borrows.
+// Loan is a number of slots of one backend server that are lent to one peer or borrowed from it.
 type Loan struct {
 	Peer  string
 	Slots uint32
-	// Until is when the loan ends: no task starts on it any more.
+	// Until is when the loan ends: no task starts on it afterwards.
 	Until time.Time
-	// DrainedAt is when the last task that started on it is thought to have ended.
+	// DrainedAt is when the last task that started on the loan has ended, by estimate.
 	DrainedAt time.Time
 }
 
-type rack struct{ inFlight int }
+type rack struct{ inUse int }
 
-// ID returns the name of the backend server.
+// ID returns the ID of the backend server.
 func (srv *Server) ID() string { return srv.id }
 
-// Slots returns how many slots the backend server has.
+// Slots returns how many slots the backend server has in total.
 func (srv *Server) Slots() uint32 { return srv.slots }
 
-// InUse returns how many slots this entry instance uses.
-func (srv *Server) InUse() uint32 { return srv.inFlight }
+// InUse returns how many slots the tasks of this instance use on the backend server.
+func (srv *Server) InUse() uint32 { return srv.inUse }
 
-// Home reports whether this entry instance gives out the slots of the backend server.
+// Home reports whether the backend server is assigned to this instance.
 func (srv *Server) Home() bool { return srv.home }
 
-// Lent returns how many slots are lent to peers.
+// Lent returns how many slots of the backend server are lent to peers.
 func (srv *Server) Lent() uint32 { return srv.lentSum }
 
-// Loans returns the loans that the server's slots were borrowed by.
+// Loans returns the loans by which slots of the backend server are borrowed from peers.
 func (srv *Server) Loans() []Loan { return slices.Clone(srv.borrowed) }
 
-// Borrowed returns how many slots are borrowed.
+// Borrowed returns how many slots of the backend server are borrowed from peers.
 func (srv *Server) Borrowed() uint32 { return srv.borrowedSum }
 
-// Free returns how many more slots may be used now.
+// Free returns how many more slots may be used now; 0 if the server is reserved.
 func (srv *Server) Free() uint32 {
-	if srv.held {
+	if srv.reserved {
 		return 0
 	}
 	return srv.Idle()
 }
 
-// Idle returns how many more slots could be used if the server were not held.
+// Idle returns how many more slots could be used if the server were not reserved.
 func (srv *Server) Idle() uint32 {
 	if !srv.open {
 		return 0
 	}
-	free := srv.allowance()
-	if srv.ceiling > 0 {
-		free = min(free, less(srv.ceiling, srv.inFlight+srv.lentSum))
+	free := srv.usable()
+	if srv.maxInUse > 0 {
+		free = min(free, subtractOrZero(srv.maxInUse, srv.inUse+srv.lentSum))
 	}
 	return free
 }
 
-func (srv *Server) allowance() uint32 {
+// usable returns how many more slots the tasks of this instance may use: on its own servers all but the lent
+// ones, on others the borrowed ones, and nowhere those that others use.
+func (srv *Server) usable() uint32 {
 	if srv.home {
-		return less(srv.slots, srv.inFlight+max(srv.lentSum, srv.foreign))
+		return subtractOrZero(srv.slots, srv.inUse+max(srv.lentSum, srv.usedByOthers))
 	}
-	return min(less(srv.borrowedSum, srv.inFlight), less(srv.slots, srv.inFlight+srv.foreign))
+	return min(subtractOrZero(srv.borrowedSum, srv.inUse), subtractOrZero(srv.slots, srv.inUse+srv.usedByOthers))
 }
 
-func less(num, sub uint32) uint32 {
+// subtractOrZero returns num-sub, or 0 if sub is larger.
+func subtractOrZero(num, sub uint32) uint32 {
 	if sub >= num {
 		return 0
 	}
 	return num - sub
 }
 
+// sum returns the slots of all loans.
 func sum(lns []Loan) uint32 {
 	var tot uint32
 	for _, lon := range lns {
@@ -109,7 +113,7 @@
 	return tot
 }
 
-// undrained keeps the loans whose slots may be in use.
+// undrained returns the loans whose slots may still be in use.
 func undrained(lns []Loan, now time.Time) []Loan {
 	kept := lns[:0]
 	for _, lon := range lns {
@@ -120,8 +124,9 @@
 	return kept
 }
 
-// trim takes slots away from loans that have ended until those hold no more than num.
-func trim(lns []Loan, now time.Time, num uint32) []Loan {
+// trimEnded reduces the loans that have ended until they hold at most num slots in total, and returns the loans
+// that remain.
+func trimEnded(lns []Loan, now time.Time, num uint32) []Loan {
 	kept := lns[:0]
 	for _, lon := range lns {
 		if !lon.Until.After(now) {
@@ -135,8 +140,9 @@
 	return kept
 }
 
-// give takes up to num slots of a peer's loans away and returns how many it took.
-func give(lns []Loan, peer string, num uint32) ([]Loan, uint32) {
+// takeFrom removes up to num slots from the loans of the peer; it returns the loans that remain and how many slots
+// it removed.
+func takeFrom(lns []Loan, peer string, num uint32) ([]Loan, uint32) {
 	kept := lns[:0]
 	var taken uint32
 	for _, lon := range lns {
