--- a/internal/request/dispatch/property_test.go
+++ b/internal/request/dispatch/property_test.go
@@ -94,7 +94,7 @@
 		ent.dead = ent != rcl.entries[0]
 		rcl.after(time.Second, rcl.publish)
 	},
-	"messages duplicateMessages": func(rcl *randomCluster, _ *simServer, _ *simEntry) {
+	"messages doubled": func(rcl *randomCluster, _ *simServer, _ *simEntry) {
 		rcl.duplicateMessages = true
 		rcl.after(time.Second, func() { rcl.duplicateMessages = false })
 	},
