--- a/internal/request/dispatch/admit.go
+++ b/internal/request/dispatch/admit.go
@@ -8,6 +8,7 @@
 )
 
 const (
+	// minRetryAfter and maxRetryAfter bound the delay after which a refused caller is told to retry.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
 )
@@ -126,14 +127,14 @@
 	if jst.cls.waiting+len(jst.pending) > limit {
 		return verdict.New(verdict.NotRun, "queue-full").WithRetryAfter(bounded(wait))
 	}
-	room := dsp.cfg.MaxWait
+	timeLeft := dsp.cfg.MaxWait
 	if !spc.NotAfter.IsZero() {
-		room = min(room, spc.NotAfter.Sub(now))
+		timeLeft = min(timeLeft, spc.NotAfter.Sub(now))
 	}
 	// Shorter jobs that arrive later overtake a long one, so that the wait is longer than the present backlog
 	// alone makes it.
-	if safeWait := time.Duration(dsp.cfg.AdmitWaitFactor * float64(wait)); safeWait > room {
-		return verdict.New(verdict.NotRun, "overload").WithRetryAfter(bounded(safeWait - room))
+	if safeWait := time.Duration(dsp.cfg.AdmitWaitFactor * float64(wait)); safeWait > timeLeft {
+		return verdict.New(verdict.NotRun, "overload").WithRetryAfter(bounded(safeWait - timeLeft))
 	}
 	return nil
 }
--- a/internal/request/dispatch/borrow.go
+++ b/internal/request/dispatch/borrow.go
@@ -63,13 +63,13 @@
 		return 0
 	}
 	jst := dsp.firstWaiting()
-	worth := time.Duration(dsp.policyOf(jst).WaitShare * float64(dsp.estimate(jst)))
-	soon := dsp.completionRate * worth.Seconds()
-	want := float64(dsp.queued) - soon
+	acceptableWait := time.Duration(dsp.policyOf(jst).WaitShare * float64(dsp.estimate(jst)))
+	endingSoon := dsp.completionRate * acceptableWait.Seconds()
+	want := float64(dsp.queued) - endingSoon
 	if want < 1 {
 		since := now.Sub(jst.spec().Admitted)
-		if since < worth {
-			dsp.scheduleBorrow(now.Add(worth - since))
+		if since < acceptableWait {
+			dsp.scheduleBorrow(now.Add(acceptableWait - since))
 			return 0
 		}
 		want = float64(dsp.queued)
--- a/internal/request/dispatch/dispatcher.go
+++ b/internal/request/dispatch/dispatcher.go
@@ -21,6 +21,7 @@
 
 	pool  *slot.Pool
 	queue *order.Queue[*jobState]
+	// parks holds the parks by reason and by what blocks their jobs.
 	parks map[parkKey]*park
 	// shapeParks holds the parks whose jobs wait for slots rather than for units of limits.
 	shapeParks []*park
@@ -54,15 +55,19 @@
 	requestedSlots uint32
 	requestAfter   time.Time
 	// unmetUntil is the latest time until which a peer's request for more slots than were idle stays open.
-	unmetUntil      time.Time
+	unmetUntil time.Time
+	// borrowedServers lists the backend servers on which slots are borrowed.
 	borrowedServers []*server
-	reserved        *server
-	reservedFor     *jobState
-	borrowAt        time.Time
+	// reserved is the backend server that is kept for the wide job reservedFor; both are nil if there is none.
+	reserved    *server
+	reservedFor *jobState
+	// borrowAt is when the earliest timerBorrow is due; zero if none is set.
+	borrowAt time.Time
 	// idleSince is since when borrowed slots have been unused; zero while none are.
 	idleSince time.Time
-	leaving   bool
-	stats     Stats
+	// leaving is true after Drain.
+	leaving bool
+	stats   Stats
 }
 
 // New returns a Dispatcher without backend servers and peers; SetMembership adds them.
--- a/internal/request/dispatch/park.go
+++ b/internal/request/dispatch/park.go
@@ -6,6 +6,7 @@
 	"chestnutstack/internal/request/order"
 )
 
+// parkReason is why the jobs of a park can't start a task now.
 type parkReason uint8
 
 const (
@@ -19,6 +20,7 @@
 	parkShare
 )
 
+// parkKey identifies a park: its reason with the catalogue entry and team, or with the partner's name in class.
 type parkKey struct {
 	reason parkReason
 	class  string
@@ -28,8 +30,9 @@
 // park holds the jobs that can't start a task for one reason though slots are free, so that they don't block the
 // queue.
 type park struct {
-	key      parkKey
-	queue    *order.Queue[*jobState]
+	key   parkKey
+	queue *order.Queue[*jobState]
+	// timerSet is true while a timerParked is set.
 	timerSet bool
 	// pause is the delay before the next try; it doubles until a job gets the units of its limit.
 	pause time.Duration
--- a/internal/request/dispatch/place.go
+++ b/internal/request/dispatch/place.go
@@ -31,7 +31,7 @@
 		dsp.endJob(now, jst, verdict.New(jst.job.FailureVerdict(), "not-after-passed"))
 		return
 	}
-	if dsp.isLong(jst) && !dsp.longAllowed() {
+	if dsp.long(jst) && !dsp.longAllowed() {
 		dsp.parkJob(now, jst, dsp.parkOf(parkKey{reason: parkLong}))
 		return
 	}
@@ -62,10 +62,8 @@
 	return jst.widths
 }
 
-// isLong reports whether the estimated run time of the job's tasks counts as long.
-func (dsp *Dispatcher) isLong(jst *jobState) bool {
-	return dsp.estimate(jst) >= dsp.cfg.LongTaskRunTime
-}
+// long reports whether the estimated run time of the job's tasks counts as long.
+func (dsp *Dispatcher) long(jst *jobState) bool { return dsp.estimate(jst) >= dsp.cfg.LongTaskRunTime }
 
 // longAllowed reports whether one more long task may start. Some slots stay reserved for short tasks: a long task
 // that takes the last slot delays many short ones for seconds, while it would itself be delayed little in relation
--- a/internal/request/dispatch/recent.go
+++ b/internal/request/dispatch/recent.go
@@ -9,6 +9,7 @@
 	head int
 }
 
+// recentAttempt is an entry of recentAttempts.
 type recentAttempt struct {
 	att *attempt
 	// number is the attempt's number when it was started; the entry is outdated if it has changed.
--- a/internal/request/dispatch/sim_test.go
+++ b/internal/request/dispatch/sim_test.go
@@ -22,6 +22,7 @@
 
 var simStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// event is a function call at a virtual time; seq orders calls at the same time.
 type event struct {
 	at  time.Time
 	seq uint64
@@ -54,6 +55,7 @@
 
 func (smn *sim) after(dur time.Duration, fun func()) { smn.at(smn.now.Add(dur), fun) }
 
+// run handles the events up to the given time.
 func (smn *sim) run(until time.Time) {
 	for len(smn.events) > 0 && !smn.events[0].at.After(until) {
 		evt := heap.Pop(&smn.events).(event)
@@ -96,9 +98,11 @@
 	servers []*simServer
 	byID    map[dispatch.ServerID]*simServer
 	// runTime returns the actual run time of a task, and whether it fails.
-	runTime      func(tid job.TaskID) (time.Duration, bool)
-	ended        func(ent *simEntry, jb *job.Job)
-	answered     func(tid job.TaskID)
+	runTime func(tid job.TaskID) (time.Duration, bool)
+	// ended, if set, is called with each job that ends; answered with each successful task whose result arrives.
+	ended    func(ent *simEntry, jb *job.Job)
+	answered func(tid job.TaskID)
+	// starts counts the starts of each task on servers, sent those sent for each submission.
 	starts       map[string]int
 	sent         map[job.SubmissionID]int
 	doubleStarts int
@@ -106,6 +110,7 @@
 	duplicateMessages bool
 }
 
+// simEntry is a simulated entry instance with its Dispatcher.
 type simEntry struct {
 	cls      *cluster
 	id       dispatch.PeerID
@@ -114,7 +119,8 @@
 	dead     bool
 	paused   bool
 	sessions map[dispatch.ServerID]*simSession
-	tickAt   time.Time
+	// tickAt is when the earliest scheduled HandleTick is due; zero if there is none.
+	tickAt time.Time
 }
 
 // simSession is one connection; a silent one loses all messages in both directions without an error.
@@ -127,6 +133,7 @@
 	slow time.Duration
 }
 
+// unlimited is a Limits that allows everything.
 type unlimited struct{}
 
 func (unlimited) Take(time.Time, *job.Class, string) bool { return true }
@@ -226,6 +233,7 @@
 	ent.flush()
 }
 
+// flush sends the messages and carries out the other actions that the Dispatcher returned.
 func (ent *simEntry) flush() {
 	act := ent.dsp.Actions()
 	batches := map[dispatch.ServerID]*batch{}
@@ -303,6 +311,7 @@
 	}
 }
 
+// schedule schedules the next HandleTick.
 func (ent *simEntry) schedule() {
 	due := ent.dsp.NextTick()
 	if due.IsZero() || (!ent.tickAt.IsZero() && !due.Before(ent.tickAt)) {
@@ -325,6 +334,7 @@
 	return two
 }
 
+// connect opens a new session to the server and closes the former one.
 func (ent *simEntry) connect(sid dispatch.ServerID) {
 	srv := ent.cls.byID[sid]
 	if old := ent.sessions[sid]; old != nil {
@@ -353,6 +363,7 @@
 	})
 }
 
+// send delivers a batch to the server, unless the session or server loses it.
 func (ent *simEntry) send(sid dispatch.ServerID, bat *batch) {
 	ses := ent.sessions[sid]
 	if ses == nil || ses.closed || ses.silent {
--- a/internal/request/dispatch/simserver_test.go
+++ b/internal/request/dispatch/simserver_test.go
@@ -19,17 +19,18 @@
 
 // simServer is a simulated backend server that follows the rules of backend.proto.
 type simServer struct {
-	cls      *cluster
-	id       dispatch.ServerID
-	domain   string
-	rack     string
-	slots    uint32
-	free     uint32
-	speed    float64
-	epoch    int
-	leaving  bool
-	down     bool
-	cutOff   bool
+	cls     *cluster
+	id      dispatch.ServerID
+	domain  string
+	rack    string
+	slots   uint32
+	free    uint32
+	speed   float64
+	epoch   int
+	leaving bool
+	down    bool
+	cutOff  bool
+	// failAll makes each task fail after a millisecond; cutOff makes the server lose all messages.
 	failAll  bool
 	unlisted bool
 	tasks    map[string]*simTask
@@ -116,6 +117,7 @@
 	}
 }
 
+// reply sends a report on the session, twice if the cluster duplicates messages.
 func (srv *simServer) reply(ses *simSession, rep dispatch.Report) {
 	rep.FreeSlots = srv.free
 	ent := ses.ent
@@ -141,6 +143,7 @@
 	})
 }
 
+// start starts a task or returns why it is refused.
 func (srv *simServer) start(holder dispatch.PeerID, stt *dispatch.Start) (dispatch.Refused, bool) {
 	ref := dispatch.Refused{Task: stt.Task}
 	key := taskKey(stt.Task)
@@ -190,6 +193,7 @@
 	srv.cls.after(stt.Lease, func() { srv.leaseDue(tsk, epoch) })
 }
 
+// leaseDue stops the task if its lease has expired.
 func (srv *simServer) leaseDue(tsk *simTask, epoch int) {
 	if srv.epoch != epoch || tsk.ended {
 		return
--- a/internal/request/dispatch/state.go
+++ b/internal/request/dispatch/state.go
@@ -20,12 +20,15 @@
 	// limit is the park of the job while a limit blocks it.
 	limit *park
 	// pending holds the indexes of the waiting tasks; the last one is sent next.
-	pending        []uint32
+	pending []uint32
+	// countedWaiting is how many tasks of the job the counts of waiting tasks include.
 	countedWaiting int
 	attempts       []attempt
 	inFlight       int
-	widths         []uint32
-	declared       time.Duration
+	// widths is how many slots a task takes on backend servers of each shape; 0 where it never fits.
+	widths []uint32
+	// declared is the average of the expected run times that the submission declares for its tasks.
+	declared time.Duration
 	// cost is the estimated run time of one task with which it counts in the partner's backlog.
 	cost time.Duration
 	// deadline is referenced by the timer of the not-after time; nil while there is no such timer.
@@ -77,14 +80,16 @@
 	// prev and next form the list of the attempts on one backend server.
 	prev, next *attempt
 	// number counts the attempts at the task, so that an outdated entry of recentAttempts is recognised.
-	number   uint32
+	number uint32
+	// width is how many slots the attempt takes, long whether it counts as a long task.
 	width    uint32
 	long     bool
 	estimate time.Duration
 	// busyPeriod is the busy period of the queue in which the estimated run time was charged to the partner.
 	busyPeriod  uint64
 	incarnation string
-	lateAt      time.Time
+	// lateAt is from when on a missing answer counts as late.
+	lateAt time.Time
 	// queriedAt is when the unanswered query or revoke was sent; firstQueriedAt is when the first query of the
 	// attempt was sent.
 	queriedAt      time.Time
@@ -108,19 +113,23 @@
 	up          bool
 	listed      bool
 	// leaving is as in the server's last report; info.Leaving is as in the list.
-	leaving  bool
+	leaving bool
+	// heard is when the last report arrived, renewed when the last renewal was sent.
 	heard    time.Time
 	renewed  time.Time
 	attempts *attempt
 	// session counts the ended sessions, so that a timerUnreachable of an earlier one is recognised.
-	session      uint64
+	session uint64
+	// reconnecting is true while a timerReconnect is set; pause is the delay it was set with, before jitter.
 	reconnecting bool
 	pause        time.Duration
 	// refusedConns counts the refused connections since the last session.
-	refusedConns     int
+	refusedConns int
+	// reportValidUntil is until when the reported free slots take precedence; zero if they do not.
 	reportValidUntil time.Time
 	fault            fault.Server
-	inBorrowed       bool
+	// inBorrowed is true if the server is in Dispatcher.borrowedServers.
+	inBorrowed bool
 }
 
 // open reports whether new tasks may be started on the server.
@@ -182,7 +191,8 @@
 	// unmetUntil.
 	unmet      uint32
 	unmetUntil time.Time
-	offeredAt  time.Time
+	// offeredAt is when the last offer was made to the peer.
+	offeredAt time.Time
 	// runTime is the run time of the peer's waiting tasks; policy is the one that its last request implies.
 	runTime time.Duration
 	policy  *LoanPolicy
--- a/internal/request/dispatch/stop_test.go
+++ b/internal/request/dispatch/stop_test.go
@@ -11,6 +11,7 @@
 	"chestnutstack/internal/request/verdict"
 )
 
+// plainJob returns a job of tasks that need one slot each.
 func plainJob(cls *cluster, name string, tasks int) *job.Job {
 	return job.New(job.NewID("sim", name), job.Spec{
 		Submission: job.SubmissionID(name), Admitted: cls.now, Tasks: make([]job.TaskSpec, tasks),
@@ -18,6 +19,7 @@
 	})
 }
 
+// runFor returns a run time function by which each task succeeds after the given time.
 func runFor(run time.Duration) func(job.TaskID) (time.Duration, bool) {
 	return func(job.TaskID) (time.Duration, bool) { return run, false }
 }
--- a/internal/request/dispatch/timer.go
+++ b/internal/request/dispatch/timer.go
@@ -2,6 +2,7 @@
 
 import "time"
 
+// timerKind says what a timer does when it fires.
 type timerKind uint8
 
 const (
@@ -48,6 +49,7 @@
 // timers is a binary heap ordered by time.
 type timers []timer
 
+// push adds a timer.
 func (tms *timers) push(tmr timer) {
 	*tms = append(*tms, tmr)
 	hep := *tms
@@ -62,6 +64,7 @@
 	}
 }
 
+// pop removes and returns the timer that is due first.
 func (tms *timers) pop() timer {
 	hep := *tms
 	top := hep[0]
--- a/internal/request/slot/pool.go
+++ b/internal/request/slot/pool.go
@@ -24,14 +24,17 @@
 	free   uint32
 	// homeFree is the part of free on the backend servers assigned to this instance.
 	homeFree uint32
-	home     uint32
-	inUse    uint32
-	lent     uint32
+	// home is the number of slots of the backend servers assigned to this instance.
+	home  uint32
+	inUse uint32
+	lent  uint32
 }
 
+// group holds the available backend servers of one shape and location, in buckets by free slots.
 type group struct {
-	shape    int
-	local    bool
+	shape int
+	local bool
+	// buckets holds the servers by the number of their free slots; a bit of nonEmpty is set for each bucket that has any.
 	buckets  [topBucket + 1][]*Server
 	nonEmpty uint64
 }
--- a/internal/request/slot/server.go
+++ b/internal/request/slot/server.go
@@ -18,8 +18,9 @@
 
 	slots uint32
 	inUse uint32
-	home  bool
-	open  bool
+	// home is true if the server is assigned to this instance, open if new tasks may be started on it.
+	home bool
+	open bool
 	// reserved is true while the server is reserved for a task of several slots.
 	reserved bool
 	removed  bool
@@ -27,8 +28,9 @@
 	maxInUse uint32
 	// usedByOthers is how many slots other instances use at least, by the server's last report.
 	usedByOthers uint32
-	lent         []Loan
-	lentSum      uint32
+	// lent holds the loans to peers; lentSum and borrowedSum are the totals of slots.
+	lent    []Loan
+	lentSum uint32
 	// borrowed holds the loans from peers, with the times after which no task starts on them.
 	borrowed    []Loan
 	borrowedSum uint32
@@ -44,6 +46,7 @@
 	DrainedAt time.Time
 }
 
+// rack counts the slots in use on the backend servers of a rack.
 type rack struct{ inUse int }
 
 // ID returns the ID of the backend server.
