--- a/internal/connection/mesh/age.go
+++ b/internal/connection/mesh/age.go
@@ -16,7 +16,7 @@
 // freshFor is how old a batch may be that is acted on. A sender misses this instance no sooner after it last heard it, and starts
 // what it had sent here elsewhere when the rest of the chain of leases has passed.
 func (msh *Mesh) freshFor() time.Duration {
-	return time.Duration(msh.cfg.SilentBeats) * msh.cfg.Interval
+	return time.Duration(msh.cfg.MissedHeartbeats) * msh.cfg.HeartbeatInterval
 }
 
 // stamp is what a batch or a receipt says of the ages of both processes.
--- a/internal/connection/mesh/mesh.go
+++ b/internal/connection/mesh/mesh.go
@@ -42,9 +42,9 @@
 // Stats returns the bytes and calls since the start.
 func (msh *Mesh) Stats() rpc.Stats { return msh.cnt.Stats() }
 
-// Outstanding returns the bytes of payloads that are on their way to other instances: sent and not yet acknowledged, or about
+// UnacknowledgedBytes returns the bytes of payloads that are on their way to other instances: sent and not yet acknowledged, or about
 // to be sent.
-func (msh *Mesh) Outstanding() int64 { return msh.outstanding.Load() * 4 / 3 } // Base64 makes four of three.
+func (msh *Mesh) UnacknowledgedBytes() int64 { return msh.outstanding.Load() * 4 / 3 } // Base64 makes four of three.
 
 // Run serves and calls until ctx is done.
 func (msh *Mesh) Run(ctx context.Context, lis net.Listener) error {
@@ -79,7 +79,7 @@
 func (msh *Mesh) peer(name string) *peer {
 	per := msh.peers[name]
 	if per == nil {
-		per = newPeer(name, msh.cfg.Life, msh.cfg.Interval)
+		per = newPeer(name, msh.cfg.Incarnation, msh.cfg.HeartbeatInterval)
 		msh.peers[name] = per
 		if msh.group != nil {
 			msh.group.Go(func() error { return msh.runPeer(msh.ctx, per) })
@@ -112,14 +112,14 @@
 	}
 }
 
-// SetPaces tells the mesh how to talk to each instance. The side with the faster pace does the calling.
-func (msh *Mesh) SetPaces(paces map[shard.InstanceID]Pace) {
+// SetSchedules tells the mesh how to talk to each instance. The side with the faster pace does the calling.
+func (msh *Mesh) SetSchedules(paces map[shard.InstanceID]Schedule) {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
 	for _, per := range msh.peers {
 		pce := paces[per.id()]
 		per.openOrders = pce.OpenOrders
-		want := time.Duration(pce.Intervals) * msh.cfg.Interval
+		want := time.Duration(pce.Intervals) * msh.cfg.HeartbeatInterval
 		if !per.up || want == 0 || per.interval == want {
 			continue
 		}
@@ -131,16 +131,16 @@
 	}
 }
 
-// Doubt tells the mesh that another instance has missed a peer: it is asked at once, and given up sooner than its own silence
+// Suspect tells the mesh that another instance has missed a peer: it is asked at once, and given up sooner than its own silence
 // would tell. One that was heard a moment ago is fine.
-func (msh *Mesh) Doubt(id shard.InstanceID) {
+func (msh *Mesh) Suspect(id shard.InstanceID) {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
 	name, _ := splitID(id)
 	per := msh.peers[name]
 	now := msh.cfg.Now()
 	if per == nil || !per.up || per.id() != id || per.unheardSince(per.doubtedAt) ||
-		now.Sub(per.heardAt) < msh.cfg.Interval {
+		now.Sub(per.heardAt) < msh.cfg.HeartbeatInterval {
 		return
 	}
 	per.doubtedAt = now
@@ -154,13 +154,13 @@
 	return ok && rep.Report.Outcome == shard.Begun
 }
 
-// Nudge has a beat sent to all at once, also where a session is just coming about: its first beats may have been written down
+// SendHeartbeats has a beat sent to all at once, also where a session is just coming about: its first beats may have been written down
 // before the news. Two instances that did not know of each other that they were ready both took a shard over, and its
 // jobs waited for a second.
-func (msh *Mesh) Nudge() { msh.NudgeIf(func(shard.InstanceID) bool { return true }) }
+func (msh *Mesh) SendHeartbeats() { msh.SendHeartbeatsIf(func(shard.InstanceID) bool { return true }) }
 
-// NudgeIf is Nudge for the instances of which a condition holds, and for those that were not heard yet.
-func (msh *Mesh) NudgeIf(concerns func(id shard.InstanceID) bool) {
+// SendHeartbeatsIf is Nudge for the instances of which a condition holds, and for those that were not heard yet.
+func (msh *Mesh) SendHeartbeatsIf(concerns func(id shard.InstanceID) bool) {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
 	for _, per := range msh.peers {
@@ -172,7 +172,7 @@
 
 // watch gives up the sessions of instances that are not heard.
 func (msh *Mesh) watch(ctx context.Context) error {
-	tck := time.NewTicker(msh.cfg.Interval / silenceChecks)
+	tck := time.NewTicker(msh.cfg.HeartbeatInterval / silenceChecks)
 	defer tck.Stop()
 	checked := msh.cfg.Now()
 	for {
@@ -182,12 +182,12 @@
 		case <-tck.C:
 		}
 		now := msh.cfg.Now()
-		late := now.Sub(checked) > msh.cfg.Interval
+		late := now.Sub(checked) > msh.cfg.HeartbeatInterval
 		if late {
 			// This process had no processor for a while: what the others sent meanwhile lies unread, and would be
 			// taken for silence. Where orders lie open, a process that is short of processor all the time has to
 			// miss the other all the same; else the next check tells.
-			time.Sleep(ReadTime)
+			time.Sleep(SocketReadTime)
 			now = msh.cfg.Now()
 		}
 		checked = now
@@ -208,8 +208,8 @@
 	}
 }
 
-// ReadTime is what a process that was held up gets to read what has come: some hundred batches on a fifth of a core.
-const ReadTime = 20 * time.Millisecond
+// SocketReadTime is what a process that was held up gets to read what has come: some hundred batches on a fifth of a core.
+const SocketReadTime = 20 * time.Millisecond
 
 // silenceChecks is how often within an interval silence is looked for.
 const silenceChecks = 2
@@ -229,6 +229,6 @@
 	msh.forget(per)
 	msh.mu.Unlock()
 	if had {
-		msh.hdl.Lost(was, cau)
+		msh.hdl.HandleInstanceLost(was, cau)
 	}
 }
--- a/internal/connection/mesh/mesh_test.go
+++ b/internal/connection/mesh/mesh_test.go
@@ -93,34 +93,34 @@
 	ntw.Resume(nod.name)
 }
 
-func (nod *node) Beat() mesh.Beat {
-	return mesh.Beat{Domain: "a", Processor: 0.4, Ready: true, Round: 7, Divisions: map[string]shard.Division{
+func (nod *node) Heartbeat() mesh.Heartbeat {
+	return mesh.Heartbeat{Domain: "a", Processor: 0.4, Ready: true, TokenRound: 7, Divisions: map[string]shard.Division{
 		"a": {Count: 2, Stamp: 1},
-	}, Domains: domainlist.View{End: 4, Closed: []string{"b", "c"}}}
+	}, ClosedDomains: domainlist.View{End: 4, Closed: []string{"b", "c"}}}
 }
 
-func (nod *node) Heard(from shard.InstanceID, _ time.Time, bet mesh.Beat, msgs []mesh.Message) {
+func (nod *node) HandleBatch(from shard.InstanceID, _ time.Time, bet mesh.Heartbeat, msgs []mesh.Message) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
 	nod.heard[from]++
 	for _, msg := range msgs {
-		if wdr, ok := msg.(mesh.Withdrawal); ok {
+		if wdr, ok := msg.(mesh.Cancellation); ok {
 			nod.got = append(nod.got, wdr.Task)
 		}
 	}
-	if bet.Round != 7 || bet.Processor != 0.4 || bet.Divisions["a"].Count != 2 ||
-		bet.Domains.End != 4 || !slices.Equal(bet.Domains.Closed, []string{"b", "c"}) {
+	if bet.TokenRound != 7 || bet.Processor != 0.4 || bet.Divisions["a"].Count != 2 ||
+		bet.ClosedDomains.End != 4 || !slices.Equal(bet.ClosedDomains.Closed, []string{"b", "c"}) {
 		nod.got = append(nod.got, "beat is garbled")
 	}
 }
 
-func (nod *node) Late(shard.InstanceID, time.Duration, int) {
+func (nod *node) HandleStaleBatch(shard.InstanceID, time.Duration, int) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
 	nod.late++
 }
 
-func (nod *node) Lost(id shard.InstanceID, _ mesh.Cause) {
+func (nod *node) HandleInstanceLost(id shard.InstanceID, _ mesh.Cause) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
 	nod.lost++
@@ -143,7 +143,7 @@
 		start := func(name, oth string) *node {
 			nod := &node{name: name, heard: map[shard.InstanceID]int{}}
 			nod.msh = mesh.New(mesh.Config{
-				Name: name, Life: 1, Address: name + ":1", Interval: 100 * time.Millisecond, SilentBeats: 4,
+				Name: name, Incarnation: 1, Address: name + ":1", HeartbeatInterval: 100 * time.Millisecond, MissedHeartbeats: 4,
 				CallTimeout: 150 * time.Millisecond, Now: nod.clock,
 			}, nod.dialer(ntw.Dialer(name)), nod)
 			nod.msh.SetPeers([]mesh.Peer{{Name: oth, Address: oth + ":1"}})
@@ -163,7 +163,7 @@
 }
 
 func (nod *node) send(to string, num int) {
-	nod.msh.Send(mesh.ID(to, 1), mesh.Withdrawal{Task: fmt.Sprint(num)})
+	nod.msh.Send(mesh.ID(to, 1), mesh.Cancellation{Task: fmt.Sprint(num)})
 }
 
 func TestMessagesArriveOnceAndInOrder(t *testing.T) {
@@ -187,7 +187,7 @@
 	})
 }
 
-func TestBothMissEachOther(t *testing.T) {
+func TestPartitionEndsSessionOnBothSides(t *testing.T) {
 	// A cut lasts longer than the silence. Both ends are told once that the other was lost; what was sent meanwhile
 	// never arrives; and after the cut one session is up, without resets that call each other forth.
 	inPair(t, func(ntw *pipe.Network, one, two *node) {
@@ -213,14 +213,14 @@
 	})
 }
 
-func TestSlowPaceIsNotSilence(t *testing.T) {
+func TestRaisedHeartbeatRateIsNotSilence(t *testing.T) {
 	// Two ends that owe each other nothing beat once a second. When one comes to depend on the other the pace is raised,
 	// and the second without a beat is not taken for silence.
 	inPair(t, func(_ *pipe.Network, one, two *node) {
 		chk := is.New(t)
 		pace := func(intervals int) {
-			one.msh.SetPaces(map[shard.InstanceID]mesh.Pace{mesh.ID("two", 1): {Intervals: intervals}})
-			two.msh.SetPaces(map[shard.InstanceID]mesh.Pace{mesh.ID("one", 1): {Intervals: intervals}})
+			one.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("two", 1): {Intervals: intervals}})
+			two.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("one", 1): {Intervals: intervals}})
 		}
 		pace(10)
 		time.Sleep(20 * time.Second)
@@ -234,7 +234,7 @@
 	})
 }
 
-func TestStarvedProcessMissesItsPeer(t *testing.T) {
+func TestPausedProcessDetectsLostPeer(t *testing.T) {
 	// A process gets so little processor that each check for silence comes late, and its peer goes dark. It has to miss
 	// the peer all the same: what it runs for the peer's callers is sent elsewhere by then.
 	// An instance to which it owes nothing is not missed: a weak machine that has just started took shards from leaders
@@ -242,7 +242,7 @@
 	for owes, want := range map[bool]int{true: 1, false: 0} {
 		inPair(t, func(ntw *pipe.Network, one, _ *node) {
 			chk := is.New(t)
-			one.msh.SetPaces(map[shard.InstanceID]mesh.Pace{mesh.ID("two", 1): {Intervals: 1, OpenOrders: owes}})
+			one.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("two", 1): {Intervals: 1, OpenOrders: owes}})
 			one.starve()
 			ntw.Separate("one", "two")
 			time.Sleep(600 * time.Millisecond)
@@ -252,7 +252,7 @@
 	}
 }
 
-func TestAddressOfTheListIsOutOfDate(t *testing.T) {
+func TestAddressLearnedFromIncomingCall(t *testing.T) {
 	// An instance has started again at another address, and the store can't be asked for the new one. It calls the other
 	// end, which has something to tell it and learns the way from the call.
 	inPair(t, func(_ *pipe.Network, one, two *node) {
@@ -266,7 +266,7 @@
 	})
 }
 
-func TestWayBackIsCut(t *testing.T) {
+func TestUnacknowledgedMessagesEndSession(t *testing.T) {
 	// An end hears its peer and can't reach it: its connections have gone silent, and new ones don't come about. What it
 	// has to tell would never arrive, and the peer would wait for it. It gives the session up, and the peer learns that.
 	inPair(t, func(ntw *pipe.Network, one, two *node) {
@@ -283,7 +283,7 @@
 	})
 }
 
-func TestLateBatchIsNotTaken(t *testing.T) {
+func TestStaleBatchIsRejected(t *testing.T) {
 	// An order is sent to an instance whose process gets no processor. Its sender gives the session up and sends the task
 	// elsewhere. The process goes on, is late at each check and so misses nobody, reads the order from its socket, and would
 	// start what runs elsewhere by then. It sees that the sender has heard nothing of it for too long.
@@ -317,13 +317,13 @@
 	}
 }
 
-func TestBatchAfterALongPause(t *testing.T) {
+func TestBatchAfterIdlePeriodArrives(t *testing.T) {
 	// Two ends beat once a second, and one of them has an order for the other long after it last heard of it. The first try
 	// only brings it up to date; the order still arrives within a few milliseconds.
 	inPair(t, func(_ *pipe.Network, one, two *node) {
 		chk := is.New(t)
-		one.msh.SetPaces(map[shard.InstanceID]mesh.Pace{mesh.ID("two", 1): {Intervals: 10}})
-		two.msh.SetPaces(map[shard.InstanceID]mesh.Pace{mesh.ID("one", 1): {Intervals: 10}})
+		one.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("two", 1): {Intervals: 10}})
+		two.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("one", 1): {Intervals: 10}})
 		for num := range 20 {
 			time.Sleep(time.Duration(num) * 90 * time.Millisecond)
 			one.send("two", num)
--- a/internal/connection/mesh/seldom_test.go
+++ b/internal/connection/mesh/seldom_test.go
@@ -14,13 +14,13 @@
 const seldom = 40
 
 func talkSeldom(one, two *node) {
-	one.msh.SetPaces(map[shard.InstanceID]mesh.Pace{mesh.ID("two", 1): {Intervals: seldom}})
-	two.msh.SetPaces(map[shard.InstanceID]mesh.Pace{mesh.ID("one", 1): {Intervals: seldom}})
+	one.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("two", 1): {Intervals: seldom}})
+	two.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("one", 1): {Intervals: seldom}})
 	time.Sleep(10 * time.Second)
 }
 
 // A peer that is called every four seconds goes dark, and is missed after four of its long beats only.
-func TestPeerThatIsCalledSeldomIsMissed(t *testing.T) {
+func TestInfrequentlyCalledPeerIsDetectedLost(t *testing.T) {
 	inPair(t, func(ntw *pipe.Network, one, two *node) {
 		chk := is.New(t)
 		talkSeldom(one, two)
@@ -34,7 +34,7 @@
 }
 
 // A cut has ended, and peers that call each other seldom go on without each other for as long again.
-func TestSeldomCalledPeerIsBackSoon(t *testing.T) {
+func TestInfrequentlyCalledPeerReconnectsSoon(t *testing.T) {
 	inPair(t, func(ntw *pipe.Network, one, two *node) {
 		chk := is.New(t)
 		talkSeldom(one, two)
@@ -50,7 +50,7 @@
 }
 
 // One call in ten fails, and is not taken for the peer's end.
-func TestCallThatFailsOnceIsNoSilence(t *testing.T) {
+func TestSingleFailedCallsEndNoSession(t *testing.T) {
 	inPair(t, func(ntw *pipe.Network, one, two *node) {
 		chk := is.New(t)
 		talkSeldom(one, two)
@@ -67,7 +67,7 @@
 }
 
 // Another instance has missed a peer that is called seldom here: whether it is there shows at once.
-func TestDoubtedPeerIsAsked(t *testing.T) {
+func TestSuspectedPeerIsCalledAtOnce(t *testing.T) {
 	cases := map[string]struct {
 		dark bool
 		lost int
@@ -84,9 +84,9 @@
 					ntw.Separate("one", "two")
 				}
 				time.Sleep(150 * time.Millisecond)
-				one.msh.Doubt(mesh.ID("two", 1))
-				one.msh.Doubt(mesh.ID("two", 7))      // Another life.
-				one.msh.Doubt("nobody that is known") // Nonsense of a peer.
+				one.msh.Suspect(mesh.ID("two", 1))
+				one.msh.Suspect(mesh.ID("two", 7))      // Another life.
+				one.msh.Suspect("nobody that is known") // Nonsense of a peer.
 				time.Sleep(300 * time.Millisecond)
 				_, lost, _ := one.seen()
 				chk.Equal(lost, cse.lost)
--- a/internal/connection/mesh/send.go
+++ b/internal/connection/mesh/send.go
@@ -49,7 +49,7 @@
 func (msh *Mesh) interval(per *peer) time.Duration {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
-	if per.interval <= msh.cfg.Interval {
+	if per.interval <= msh.cfg.HeartbeatInterval {
 		return per.interval
 	}
 	part := xxhash.Sum64String(msh.cfg.Name+" "+per.name) % spreadParts
@@ -78,7 +78,7 @@
 		per.failingSince = msh.cfg.Now()
 	}
 	msh.mu.Unlock()
-	pause := msh.cfg.Interval
+	pause := msh.cfg.HeartbeatInterval
 	if heard {
 		pause = retryPause
 		signal(per.wake)
@@ -123,7 +123,7 @@
 	if err != nil {
 		return errors.Wrap(err, "encode batch")
 	}
-	msh.cnt.Call()
+	msh.cnt.CountCall()
 	var ans []byte
 	err = lin.cnn.Call(ctx, methodDeliver, data, &ans)
 	msh.took(per, msh.cfg.Now().Sub(began))
@@ -143,7 +143,7 @@
 func (msh *Mesh) patience(per *peer) time.Duration {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
-	return per.receipts.Patience(msh.cfg.CallTimeout, time.Duration(msh.cfg.SilentBeats)*msh.cfg.Interval)
+	return per.receipts.Patience(msh.cfg.CallTimeout, time.Duration(msh.cfg.MissedHeartbeats)*msh.cfg.HeartbeatInterval)
 }
 
 func (msh *Mesh) took(per *peer, dur time.Duration) {
@@ -156,7 +156,7 @@
 func (msh *Mesh) batch(per *peer) (*meshpb.Delivery, string) {
 	// The age is taken first: what the beat says is no older. The Handler may call Send under its own lock.
 	now := msh.cfg.Now()
-	bet := msh.hdl.Beat()
+	bet := msh.hdl.Heartbeat()
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
 	if per.up && !per.counted && len(per.outbox) > 0 {
@@ -195,7 +195,7 @@
 	if err != nil {
 		return errors.Wrap(err, "dial")
 	}
-	con := rpc.Watch(raw, &msh.cnt, msh.cfg.CallTimeout)
+	con := rpc.WrapConn(raw, &msh.cnt, msh.cfg.CallTimeout)
 	// The connection outlives the call that opened it, so it isn't bound to the call's context.
 	lin.cnn = rpc.NewConn(context.Background(), con, maxMessage, rpc.RefuseAll{})
 	lin.address = address
@@ -232,9 +232,9 @@
 	}
 	msh.mu.Unlock()
 	if ended {
-		msh.hdl.Lost(was, Reset)
+		msh.hdl.HandleInstanceLost(was, Reset)
 	}
 	if current && rcp.GetBeat() != nil {
-		msh.hdl.Heard(id, heardAt, bet, nil)
+		msh.hdl.HandleBatch(id, heardAt, bet, nil)
 	}
 }
--- a/internal/connection/mesh/serve.go
+++ b/internal/connection/mesh/serve.go
@@ -44,7 +44,7 @@
 }
 
 func (msh *Mesh) serveConn(ctx context.Context, raw net.Conn) {
-	con := rpc.Watch(raw, &msh.cnt, msh.cfg.CallTimeout)
+	con := rpc.WrapConn(raw, &msh.cnt, msh.cfg.CallTimeout)
 	cnn := rpc.NewConn(ctx, con, maxMessage, receiver{msh: msh})
 	select {
 	case <-cnn.DisconnectNotify():
@@ -128,7 +128,7 @@
 	}
 	msh.mu.Unlock()
 	if ended {
-		msh.hdl.Lost(was, Reset)
+		msh.hdl.HandleInstanceLost(was, Reset)
 	}
 	if !current {
 		return rcp
@@ -138,12 +138,12 @@
 		msgs = decodeMessages(dlv, now, id)
 	}
 	if num := len(dlv.GetMessages()); num > 0 && !fresh {
-		msh.hdl.Late(id, now.Sub(said), num)
+		msh.hdl.HandleStaleBatch(id, now.Sub(said), num)
 	}
-	msh.hdl.Heard(id, heardAt, bet, msgs)
+	msh.hdl.HandleBatch(id, heardAt, bet, msgs)
 	// The age is taken first: what the beat says is no older.
 	rcp.AgeMicros = msh.age(msh.cfg.Now()).Microseconds()
-	own := msh.hdl.Beat()
+	own := msh.hdl.Heartbeat()
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
 	rcp.Beat = encodeBeat(per.news(own))
--- a/internal/connection/mesh/session.go
+++ b/internal/connection/mesh/session.go
@@ -62,7 +62,7 @@
 	heardAge   time.Duration
 	heardAgeAt time.Time
 	// beat is the peer's newest, told at beatAge.
-	beat    Beat
+	beat    Heartbeat
 	beatAge time.Duration
 	// turn is held from a change of the session until the Handler has heard of it, so that it hears of all in order. It is taken
 	// before the mesh's lock.
@@ -127,16 +127,16 @@
 
 // missing says why the peer is to be given up, if it is.
 func (per *peer) missing(now time.Time, cfg Config) Cause {
-	patience := time.Duration(cfg.SilentBeats) * cfg.Interval
+	patience := time.Duration(cfg.MissedHeartbeats) * cfg.HeartbeatInterval
 	switch {
-	case per.silent(now, cfg.SilentBeats):
+	case per.silent(now, cfg.MissedHeartbeats):
 		return Silent
 	case per.doubted(now, cfg.CallTimeout):
-		return Doubted
+		return Suspected
 	case per.unreachable(now, patience):
 		return Unreachable
 	case per.stuck(now, patience):
-		return Stuck
+		return Unacknowledged
 	}
 	return ""
 }
@@ -241,7 +241,7 @@
 // newest takes in a beat, and returns the newest one with what the peer has said before in this session. A batch and the receipt
 // of another one pass each other: an instance that had just taken a shard over seemed to lead it no more, and its orders
 // followed to the leader before it.
-func (per *peer) newest(bet Beat, age time.Duration) Beat {
+func (per *peer) newest(bet Heartbeat, age time.Duration) Heartbeat {
 	if age > 0 && age < per.beatAge {
 		return per.beat
 	}
@@ -255,7 +255,7 @@
 
 // news leaves out of a beat what the peer has had before in this session: without them, idle instances
 // send 24 KB a second to 15 others in place of 32.
-func (per *peer) news(bet Beat) Beat {
+func (per *peer) news(bet Heartbeat) Heartbeat {
 	if per.up && maps.Equal(per.toldDivisions, bet.Divisions) {
 		bet.Divisions = nil
 	}
--- a/internal/connection/mesh/wire.go
+++ b/internal/connection/mesh/wire.go
@@ -34,36 +34,36 @@
 	return greeting{from: decodeEpoch(msg.GetOwn()), to: decodeEpoch(msg.GetOther())}
 }
 
-func encodeBeat(bet Beat) *meshpb.Beat {
+func encodeBeat(bet Heartbeat) *meshpb.Beat {
 	msg := &meshpb.Beat{
 		Domain: bet.Domain, Processor: int64(bet.Processor * milli), Ready: bet.Ready, Leaving: bet.Leaving,
-		Version: bet.ConfigVersion, Round: bet.Round, ListedTo: bet.ListedTo,
+		Version: bet.ConfigVersion, Round: bet.TokenRound, ListedTo: bet.CompleteUpTo,
 	}
 	for dom, dvn := range bet.Divisions {
 		msg.Divisions = append(msg.Divisions, &meshpb.Division{Domain: dom, Count: int64(dvn.Count), Stamp: dvn.Stamp})
 	}
-	for _, led := range bet.Leads {
+	for _, led := range bet.Leaderships {
 		msg.Leads = append(msg.Leads, &meshpb.Lead{
 			Shard: string(led.Shard), Token: led.Token,
 			Number: led.Load.Number, Free: led.Load.Free, Turnover: led.Load.Turnover, WaitsMicros: encodeWaits(led.Load.Waits),
 			LinkWindow: led.Load.LinkWindow, LinkBusy: led.Load.LinkBusy, Closed: led.Load.Closed,
 		})
 	}
-	if bet.Domains.End != domainlist.Unread {
-		msg.ClosedDomains = &meshpb.ClosedDomains{End: bet.Domains.End, Names: bet.Domains.Closed}
+	if bet.ClosedDomains.End != domainlist.Unread {
+		msg.ClosedDomains = &meshpb.ClosedDomains{End: bet.ClosedDomains.End, Names: bet.ClosedDomains.Closed}
 	}
 	return msg
 }
 
-func decodeBeat(msg *meshpb.Beat) Beat {
-	bet := Beat{
+func decodeBeat(msg *meshpb.Beat) Heartbeat {
+	bet := Heartbeat{
 		Domain: msg.GetDomain(), Processor: float64(msg.GetProcessor()) / milli, Ready: msg.GetReady(),
-		Leaving: msg.GetLeaving(), ConfigVersion: msg.GetVersion(), Round: msg.GetRound(),
+		Leaving: msg.GetLeaving(), ConfigVersion: msg.GetVersion(), TokenRound: msg.GetRound(),
 		Divisions: make(map[string]shard.Division, len(msg.GetDivisions())),
-		Domains:   domainlist.View{End: domainlist.Unread}, ListedTo: msg.GetListedTo(),
+		ClosedDomains:   domainlist.View{End: domainlist.Unread}, CompleteUpTo: msg.GetListedTo(),
 	}
 	if cld := msg.GetClosedDomains(); cld != nil {
-		bet.Domains = domainlist.View{End: cld.GetEnd(), Closed: cld.GetNames()}
+		bet.ClosedDomains = domainlist.View{End: cld.GetEnd(), Closed: cld.GetNames()}
 	}
 	for _, dvn := range msg.GetDivisions() {
 		if dvn.GetCount() > 0 {
@@ -78,7 +78,7 @@
 		for rnk, num := range led.GetWaitsMicros()[:min(len(led.GetWaitsMicros()), shard.Ranks)] {
 			lod.Waits[rnk] = micros(num)
 		}
-		bet.Leads = append(bet.Leads, Lead{Shard: shard.Name(led.GetShard()), Token: led.GetToken(), Load: lod})
+		bet.Leaderships = append(bet.Leaderships, Leadership{Shard: shard.Name(led.GetShard()), Token: led.GetToken(), Load: lod})
 	}
 	return bet
 }
@@ -96,7 +96,7 @@
 	switch msg := msg.(type) {
 	case Order:
 		dlv.Messages = append(dlv.Messages, &meshpb.Message{Body: &meshpb.Message_Order{Order: encodeOrder(dlv, now, msg)}})
-	case Withdrawal:
+	case Cancellation:
 		dlv.Messages = append(dlv.Messages, &meshpb.Message{Body: &meshpb.Message_Withdrawal{Withdrawal: &meshpb.Withdrawal{
 			Shard: string(msg.Shard), Token: msg.Token, Task: msg.Task,
 		}}})
@@ -105,7 +105,7 @@
 			Task: msg.Report.Task, Token: msg.Report.Token, Outcome: int64(msg.Report.Outcome),
 			TookMicros: msg.Report.Took.Microseconds(), Server: string(msg.Report.Server), MayHaveRun: msg.Report.MayHaveRun, Hopeless: msg.Report.Hopeless,
 		}}})
-	case Missed:
+	case LossNotice:
 		name, life := splitID(msg.Instance)
 		dlv.Messages = append(dlv.Messages, &meshpb.Message{Body: &meshpb.Message_Missed{Missed: &meshpb.Missed{
 			Name: name, Life: life,
@@ -154,7 +154,7 @@
 			})
 		case *meshpb.Message_Withdrawal:
 			wdr := bdy.Withdrawal
-			msgs = append(msgs, Withdrawal{Shard: shard.Name(wdr.GetShard()), Token: wdr.GetToken(), Task: wdr.GetTask()})
+			msgs = append(msgs, Cancellation{Shard: shard.Name(wdr.GetShard()), Token: wdr.GetToken(), Task: wdr.GetTask()})
 		case *meshpb.Message_Report:
 			rep := bdy.Report
 			msgs = append(msgs, Report{Report: shard.Report{
@@ -162,7 +162,7 @@
 				Took: micros(rep.GetTookMicros()), Server: shard.ServerID(rep.GetServer()), MayHaveRun: rep.GetMayHaveRun(), Hopeless: rep.GetHopeless(),
 			}})
 		case *meshpb.Message_Missed:
-			msgs = append(msgs, Missed{Instance: ID(bdy.Missed.GetName(), bdy.Missed.GetLife())})
+			msgs = append(msgs, LossNotice{Instance: ID(bdy.Missed.GetName(), bdy.Missed.GetLife())})
 		case *meshpb.Message_Configuration:
 			msgs = append(msgs, Configuration{Data: bdy.Configuration})
 		}
--- a/internal/connection/peer/client.go
+++ b/internal/connection/peer/client.go
@@ -94,13 +94,13 @@
 	if err != nil {
 		return err
 	}
-	cli.cnt.Call()
+	cli.cnt.CountCall()
 	sent := time.Now()
 	err = cnn.Call(ctx, method, params, result)
 	if err == nil {
 		return nil
 	}
-	if silent(ctx, err) && !con.HeardSince(sent) {
+	if silent(ctx, err) && !con.ReceivedSince(sent) {
 		// Something between the two ends may have lost track of the connection. Nothing then ever
 		// answers on it, while a new one works; so the next call dials.
 		_ = cnn.Close() // It may be closed already.
@@ -116,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	cli.cnt.Call()
+	cli.cnt.CountCall()
 	if err := cnn.Notify(ctx, method, params); err != nil {
 		return callFailure(err)
 	}
@@ -175,7 +175,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	con := rpc.Watch(raw, &cli.cnt, cli.cfg.CallTimeout)
+	con := rpc.WrapConn(raw, &cli.cnt, cli.cfg.CallTimeout)
 	var stm net.Conn = con
 	if cli.cfg.TLS != nil {
 		stm = tls.Client(con, cli.cfg.TLS)
--- a/internal/connection/peer/server.go
+++ b/internal/connection/peer/server.go
@@ -92,7 +92,7 @@
 }
 
 func (srv *Server) serveConn(ctx context.Context, raw net.Conn) {
-	var stm net.Conn = rpc.Watch(raw, &srv.cnt, srv.cfg.CallTimeout)
+	var stm net.Conn = rpc.WrapConn(raw, &srv.cnt, srv.cfg.CallTimeout)
 	if srv.cfg.TLS != nil {
 		stm = tls.Server(stm, srv.cfg.TLS)
 	}
@@ -155,7 +155,7 @@
 		ses.greet(ctx, con, req)
 		return
 	}
-	ses.srv.cnt.Call()
+	ses.srv.cnt.CountCall()
 	// The goroutine that reads must not wait for a call: answers to others would wait behind it.
 	taken := ses.take(func() error {
 		ses.answer(ctx, con, req)
--- a/internal/connection/rpc/conn.go
+++ b/internal/connection/rpc/conn.go
@@ -20,8 +20,8 @@
 	calls atomic.Uint64
 }
 
-// Call counts a call.
-func (cnt *Counters) Call() { cnt.calls.Add(1) }
+// CountCall counts a call.
+func (cnt *Counters) CountCall() { cnt.calls.Add(1) }
 
 // Stats returns the bytes and calls so far.
 func (cnt *Counters) Stats() Stats {
@@ -41,8 +41,8 @@
 	lastRead     atomic.Int64
 }
 
-// Watch returns a connection that counts, and bounds the time of each write unless the bound is 0.
-func Watch(con net.Conn, cnt *Counters, writeTimeout time.Duration) *Conn {
+// WrapConn returns a connection that counts, and bounds the time of each write unless the bound is 0.
+func WrapConn(con net.Conn, cnt *Counters, writeTimeout time.Duration) *Conn {
 	return &Conn{Conn: con, cnt: cnt, writeTimeout: writeTimeout, start: time.Now()}
 }
 
@@ -71,7 +71,7 @@
 	return num, err
 }
 
-// HeardSince reports whether the peer sent anything after a time.
-func (wcn *Conn) HeardSince(tim time.Time) bool {
+// ReceivedSince reports whether the peer sent anything after a time.
+func (wcn *Conn) ReceivedSince(tim time.Time) bool {
 	return wcn.lastRead.Load() > int64(tim.Sub(wcn.start))
 }
--- a/internal/process/daemon/carry.go
+++ b/internal/process/daemon/carry.go
@@ -50,7 +50,7 @@
 	name := act.Target.Shard
 	dmn.log.Info().Str("task", act.Task).Str("shard", string(name)).Str("leader", string(act.Target.Leader)).Msg("withdraw")
 	if act.Target.Leader != dmn.self {
-		dmn.mesh.Send(act.Target.Leader, mesh.Withdrawal{Shard: name, Token: act.Target.Token, Task: act.Task})
+		dmn.mesh.Send(act.Target.Leader, mesh.Cancellation{Shard: name, Token: act.Target.Token, Task: act.Task})
 		return
 	}
 	dmn.local = append(dmn.local, func(now time.Time) {
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -274,7 +274,7 @@
 		ID: dmn.self, Domain: set.FailureDomain, Processor: set.Processor,
 	}, now)
 	dmn.mesh = mesh.New(mesh.Config{
-		Name: set.Instance, Life: life, Address: set.PeerAddress, Interval: beatInterval, SilentBeats: silentBeats,
+		Name: set.Instance, Incarnation: life, Address: set.PeerAddress, HeartbeatInterval: beatInterval, MissedHeartbeats: silentBeats,
 		CallTimeout: meshTimeout, Now: dmn.now,
 	}, dmn.prm.Dial, dmn)
 	dmn.redivide(now)
--- a/internal/process/daemon/decide.go
+++ b/internal/process/daemon/decide.go
@@ -17,7 +17,7 @@
 	dmn.mu.Lock()
 	now := dmn.now()
 	if dmn.mesh != nil {
-		dmn.uplink.SetPeers(dmn.mesh.Outstanding())
+		dmn.uplink.SetPeers(dmn.mesh.UnacknowledgedBytes())
 	}
 	if !dmn.tickedAt.IsZero() && now.Sub(dmn.tickedAt) > starvedFor {
 		for _, ldr := range dmn.leaders {
@@ -42,7 +42,7 @@
 func (dmn *Daemon) exit(now time.Time) {
 	dmn.carryOut(now)
 	if dmn.desk != nil && dmn.desk.HeldBytes() > 0 {
-		dmn.uplink.SetPeers(dmn.mesh.Outstanding())
+		dmn.uplink.SetPeers(dmn.mesh.UnacknowledgedBytes())
 		dmn.deskDo(dmn.desk.Resume())
 		dmn.carryOut(now)
 	}
@@ -177,7 +177,7 @@
 			dmn.shardDo(name, ldr.SetServers(now, dmn.listing(now, shd)))
 		}
 	}
-	dmn.mesh.Nudge()
+	dmn.mesh.SendHeartbeats()
 	// The former leader may have taken in servers that were added since the last read.
 	dmn.wantServers()
 }
--- a/internal/process/daemon/heard.go
+++ b/internal/process/daemon/heard.go
@@ -10,28 +10,28 @@
 	"chestnutstack/internal/request/submission"
 )
 
-// Beat implements mesh.Handler.
-func (dmn *Daemon) Beat() mesh.Beat {
+// Heartbeat implements mesh.Handler.
+func (dmn *Daemon) Heartbeat() mesh.Heartbeat {
 	dmn.mu.Lock()
 	defer dmn.mu.Unlock()
-	bet := mesh.Beat{
+	bet := mesh.Heartbeat{
 		Domain: dmn.prm.Settings.FailureDomain, Processor: dmn.prm.Settings.Processor, Ready: dmn.council.Ready(),
-		Leaving: dmn.leaving.Load(), Round: dmn.round, Divisions: maps.Clone(dmn.divisions), Domains: dmn.domains.View(),
+		Leaving: dmn.leaving.Load(), TokenRound: dmn.round, Divisions: maps.Clone(dmn.divisions), ClosedDomains: dmn.domains.View(),
 	}
 	if cfg := dmn.cfg.Load(); cfg != nil {
 		bet.ConfigVersion = cfg.Version()
 	}
 	now := dmn.now()
-	bet.ListedTo = dmn.listedTo(now)
+	bet.CompleteUpTo = dmn.listedTo(now)
 	for name, ldr := range dmn.leaders {
 		// The room that has just come free goes with the report of the end that freed it; the next beat may be 400 ms away.
-		bet.Leads = append(bet.Leads, mesh.Lead{Shard: name, Token: ldr.Token(), Load: ldr.Load(now)})
+		bet.Leaderships = append(bet.Leaderships, mesh.Leadership{Shard: name, Token: ldr.Token(), Load: ldr.Load(now)})
 	}
 	return bet
 }
 
-// Heard implements mesh.Handler.
-func (dmn *Daemon) Heard(from shard.InstanceID, at time.Time, bet mesh.Beat, msgs []mesh.Message) {
+// HandleBatch implements mesh.Handler.
+func (dmn *Daemon) HandleBatch(from shard.InstanceID, at time.Time, bet mesh.Heartbeat, msgs []mesh.Message) {
 	now := dmn.enter()
 	defer dmn.exit(now)
 	for _, ldr := range dmn.leaders {
@@ -43,10 +43,10 @@
 	}
 }
 
-func (dmn *Daemon) hear(now time.Time, from shard.InstanceID, bet mesh.Beat) {
-	dmn.round = max(dmn.round, bet.Round)
-	dmn.mergeClosings(now, from, bet.Domains)
-	dmn.hearListed(now, from, bet.ListedTo)
+func (dmn *Daemon) hear(now time.Time, from shard.InstanceID, bet mesh.Heartbeat) {
+	dmn.round = max(dmn.round, bet.TokenRound)
+	dmn.mergeClosings(now, from, bet.ClosedDomains)
+	dmn.hearListed(now, from, bet.CompleteUpTo)
 	if dmn.divisions.Merge(bet.Divisions) {
 		dmn.log.Info().Str("from", string(from)).Interface("divisions", bet.Divisions).Msg("division into shards changed")
 		dmn.redivide(now)
@@ -55,7 +55,7 @@
 		ID: from, Domain: bet.Domain, Processor: bet.Processor,
 		Ready: bet.Ready, Leaving: bet.Leaving, Leads: map[shard.Name]int64{},
 	}
-	for _, led := range bet.Leads {
+	for _, led := range bet.Leaderships {
 		ins.Leads[led.Shard] = led.Token
 	}
 	fresh, changed := dmn.council.Heard(ins)
@@ -69,7 +69,7 @@
 		dmn.updateLeaders()
 		dmn.updatePaces()
 	}
-	for _, led := range bet.Leads {
+	for _, led := range bet.Leaderships {
 		if dmn.desk.Leads(submission.Target{Shard: led.Shard, Leader: from, Token: led.Token}) {
 			dmn.deskDo(dmn.desk.SetLoad(led.Shard, led.Load))
 		}
@@ -110,14 +110,14 @@
 	switch msg := msg.(type) {
 	case mesh.Order:
 		dmn.placeOrder(now, submission.Target{Shard: msg.Shard, Leader: dmn.self, Token: msg.Token}, msg.Order)
-	case mesh.Withdrawal:
+	case mesh.Cancellation:
 		if ldr := dmn.leader(msg.Shard, msg.Token); ldr != nil {
 			dmn.shardDo(msg.Shard, ldr.Cancel(now, from, msg.Task))
 		}
 	case mesh.Report:
 		dmn.logReport(from, msg.Report)
 		dmn.deskDo(dmn.desk.Report(now, from, msg.Report))
-	case mesh.Missed:
+	case mesh.LossNotice:
 		dmn.doubt(from, msg.Instance)
 	case mesh.Configuration:
 		// It takes the lock itself.
@@ -150,19 +150,19 @@
 	dmn.deskDo(dmn.desk.Report(now, dmn.self, rep))
 }
 
-// Late implements mesh.Handler.
-func (dmn *Daemon) Late(from shard.InstanceID, age time.Duration, messages int) {
+// HandleStaleBatch implements mesh.Handler.
+func (dmn *Daemon) HandleStaleBatch(from shard.InstanceID, age time.Duration, messages int) {
 	dmn.cnt.lateBatches.Add(1)
 	dmn.log.Warn().Str("peer", string(from)).Dur("age", age).Int("messages", messages).Msg("batch comes too late")
 }
 
-// Lost implements mesh.Handler.
-func (dmn *Daemon) Lost(id shard.InstanceID, cau mesh.Cause) {
+// HandleInstanceLost implements mesh.Handler.
+func (dmn *Daemon) HandleInstanceLost(id shard.InstanceID, cau mesh.Cause) {
 	now := dmn.enter()
 	defer dmn.exit(now)
 	dmn.log.Warn().Str("peer", string(id)).Str("cause", string(cau)).Msg("instance lost")
 	dmn.passOn(id, cau)
-	dmn.council.Lost(now, id, cau.Silence())
+	dmn.council.Lost(now, id, cau.IsSilence())
 	for name, ldr := range dmn.leaders {
 		dmn.shardDo(name, ldr.OwnerLost(now, id))
 	}
@@ -175,12 +175,12 @@
 // its shards over may not.
 func (dmn *Daemon) passOn(lost shard.InstanceID, cau mesh.Cause) {
 	ins := dmn.council.Others()[lost]
-	if ins == nil || ins.Domain != dmn.prm.Settings.FailureDomain || !cau.Silence() || cau == mesh.Doubted {
+	if ins == nil || ins.Domain != dmn.prm.Settings.FailureDomain || !cau.IsSilence() || cau == mesh.Suspected {
 		return // It was seen to end, or the others were told by whoever missed it first.
 	}
 	for id, oth := range dmn.council.Others() {
 		if id != lost && oth.Domain == ins.Domain {
-			dmn.mesh.Send(id, mesh.Missed{Instance: lost})
+			dmn.mesh.Send(id, mesh.LossNotice{Instance: lost})
 		}
 	}
 }
@@ -191,5 +191,5 @@
 		return
 	}
 	dmn.log.Info().Str("peer", string(missed)).Str("from", string(from)).Msg("instance missed by another")
-	dmn.mesh.Doubt(missed)
+	dmn.mesh.Suspect(missed)
 }
--- a/internal/process/daemon/pace.go
+++ b/internal/process/daemon/pace.go
@@ -25,7 +25,7 @@
 	near := dmn.council.Near()
 	nearPace := max(leaderPace, near/nearShare)
 	farPace := max(leaderPace, (len(others)-near)/farShare)
-	paces := make(map[shard.InstanceID]mesh.Pace, len(others))
+	paces := make(map[shard.InstanceID]mesh.Schedule, len(others))
 	for id, ins := range others {
 		pace := farPace
 		if ins.Domain == own {
@@ -37,14 +37,14 @@
 		case !dmn.council.Leads() && len(ins.Leads) == 0:
 			pace = max(pace, strangerPace)
 		}
-		paces[id] = mesh.Pace{Intervals: pace, OpenOrders: dmn.openWith[id]}
+		paces[id] = mesh.Schedule{Intervals: pace, OpenOrders: dmn.openWith[id]}
 	}
-	dmn.mesh.SetPaces(paces)
+	dmn.mesh.SetSchedules(paces)
 }
 
 // nudgeNear tells the own failure domain at once what is new here and concerns who is to lead its shards.
 func (dmn *Daemon) nudgeNear() {
-	dmn.mesh.NudgeIf(func(id shard.InstanceID) bool {
+	dmn.mesh.SendHeartbeatsIf(func(id shard.InstanceID) bool {
 		ins := dmn.council.Others()[id]
 		return ins != nil && ins.Domain == dmn.prm.Settings.FailureDomain
 	})
--- a/internal/process/daemon/reach.go
+++ b/internal/process/daemon/reach.go
@@ -53,7 +53,7 @@
 	if rch.Answered(now, asked) {
 		lin.Stringer("verdict", vdt).Msg("shard of another failure domain has no leader and is in reach")
 		// Its instances are called at once: if they lead it, they are heard before the shard is taken over.
-		dmn.mesh.NudgeIf(func(shard.InstanceID) bool { return false })
+		dmn.mesh.SendHeartbeatsIf(func(shard.InstanceID) bool { return false })
 	}
 	return nil
 }
--- a/internal/process/daemon/story_test.go
+++ b/internal/process/daemon/story_test.go
@@ -222,7 +222,7 @@
 	// the time after which an owner starts tasks elsewhere, and callers send their jobs again.
 	chk := is.NewRelaxed(t)
 	cfg := shard.DefaultConfig()
-	noticed := silentBeats*beatInterval + beatInterval/2 + mesh.ReadTime
+	noticed := silentBeats*beatInterval + beatInterval/2 + mesh.SocketReadTime
 	over := noticed + cfg.StopPatience + cfg.Lapse()
 	chk.True(over < proof)
 	chk.True(over < leastResend)
--- a/internal/process/daemon/traffic.go
+++ b/internal/process/daemon/traffic.go
@@ -30,8 +30,8 @@
 		if err != nil {
 			return nil, err
 		}
-		cnt.Call()
-		return rpc.Watch(con, cnt, 0), nil
+		cnt.CountCall()
+		return rpc.WrapConn(con, cnt, 0), nil
 	}
 }
 
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return rpc.Watch(con, lis.cnt, 0), nil
+	return rpc.WrapConn(con, lis.cnt, 0), nil
 }
 
 // trafficInterval is short enough to see a second of full links, and costs a line of 300 bytes.
