--- a/internal/connection/mesh/age.go
+++ b/internal/connection/mesh/age.go
@@ -2,66 +2,69 @@
 
 import "time"
 
-// How old a batch is shows by the receiver's clock alone: both sides tell how long their processes have run, and with that the
-// newest such time of the other that they have heard. Whoever gets its own time back knows that the rest was said later.
+// The age of a batch is measured by the receiver's clock alone: each side sends the age of its process, and with it the highest
+// process age of the other that it has received. A side that gets its own age back knows that the message was sent after that
+// time.
 //
-// A process that got no processor for a while finds what the others sent meanwhile in its sockets, and takes it for news: it
-// would start tasks that their owners have sent elsewhere, and believe in instances that are gone.
+// A process that was paused finds in its sockets what the others sent meanwhile and would take it for new: it would start tasks
+// that their owners have sent elsewhere by then, and count instances as alive that are gone.
 
-// age returns for how long the process has run, at least the smallest time that can be told.
+// age returns the age of this process, at least the smallest that is not encoded as 0.
 func (msh *Mesh) age(now time.Time) time.Duration {
-	return max(now.Sub(msh.began), time.Microsecond)
+	return max(now.Sub(msh.startedAt), time.Microsecond)
 }
 
-// freshFor is how old a batch may be that is acted on. A sender misses this instance no sooner after it last heard it, and starts
-// what it had sent here elsewhere when the rest of the chain of leases has passed.
-func (msh *Mesh) freshFor() time.Duration {
+// maxBatchAge returns the highest age of a batch that is accepted. Its sender declares this instance lost no earlier than that
+// long after it last heard it, and only after the rest of the leases has expired does it start elsewhere the tasks that it had
+// sent here.
+func (msh *Mesh) maxBatchAge() time.Duration {
 	return time.Duration(msh.cfg.MissedHeartbeats) * msh.cfg.HeartbeatInterval
 }
 
-// stamp is what a batch or a receipt says of the ages of both processes.
-type stamp struct{ own, heard time.Duration }
+// ages are the process ages in a batch or receipt: the sender's own, and the receiver's newest that the sender has received.
+type ages struct{ own, echoed time.Duration }
 
-// ageOf reads the stamp of a batch or a receipt.
-func ageOf(msg interface {
+// agesOf returns the ages in a batch or receipt.
+func agesOf(msg interface {
 	GetAgeMicros() int64
 	GetHeardAgeMicros() int64
 },
-) stamp {
-	return stamp{own: micros(msg.GetAgeMicros()), heard: micros(msg.GetHeardAgeMicros())}
+) ages {
+	return ages{own: micros(msg.GetAgeMicros()), echoed: micros(msg.GetHeardAgeMicros())}
 }
 
-// sentAfter returns a time by the own clock after which the peer has said something, which is no older than that: now, if it
-// comes from an earlier version.
-func (msh *Mesh) sentAfter(now time.Time, stm stamp) time.Time {
-	if stm.own == 0 {
+// sentAfter returns a time, by this process's clock, that is before the sending of a message with these ages. Messages of
+// versions that send no ages count as sent now.
+func (msh *Mesh) sentAfter(now time.Time, ags ages) time.Time {
+	if ags.own == 0 {
 		return now
 	}
-	return msh.began.Add(stm.heard)
+	return msh.startedAt.Add(ags.echoed)
 }
 
-// isFresh reports whether what was said after a time may be acted on now.
-func (msh *Mesh) isFresh(now, said time.Time) bool { return now.Sub(said) <= msh.freshFor() }
+// isFresh reports whether a message that was sent after a time is new enough to be acted on.
+func (msh *Mesh) isFresh(now, sent time.Time) bool { return now.Sub(sent) <= msh.maxBatchAge() }
 
-// noteAge notes the age of a peer's process for the next batch to it.
-func (per *peer) noteAge(now time.Time, stm stamp) {
-	if stm.own > 0 && stm.own >= per.heardAge {
-		per.heardAge, per.heardAgeAt = stm.own, now
+// notePeerAge notes the process age of a peer, to send it back with the next batch.
+func (per *peer) notePeerAge(now time.Time, ags ages) {
+	if ags.own > 0 && ags.own >= per.peerAge {
+		per.peerAge, per.peerAgeAt = ags.own, now
 	}
 }
 
-// noteHeard notes that the peer was there after a time; what was long under way proves nothing later.
-func (msh *Mesh) noteHeard(per *peer, now, said time.Time) {
-	if msh.isFresh(now, said) {
-		said = now
+// noteHeard notes that the peer was alive at a time. A message that arrived late doesn't prove that the peer was alive later than
+// that.
+func (msh *Mesh) noteHeard(per *peer, now, sent time.Time) {
+	if msh.isFresh(now, sent) {
+		sent = now
 	}
-	if said.After(per.heardAt) {
-		per.heardAt = said
+	if sent.After(per.heardAt) {
+		per.heardAt = sent
 	}
 }
 
-// outdated reports whether a batch from here would be taken for old: the peer's time that it tells is too old to begin with. A
-// batch without messages brings it up to date, which saves the way of the payloads.
-func (msh *Mesh) outdated(per *peer, now time.Time) bool {
-	return per.heardAge > 0 && now.Sub(per.heardAgeAt) > msh.freshFor()*3/4
+// isAgeOutdated reports whether the peer would reject a batch from here as stale, as the peer age that it would carry is too old
+// already. A batch without messages is sent first then: its receipt brings a new age, and the payloads aren't sent in vain.
+func (msh *Mesh) isAgeOutdated(per *peer, now time.Time) bool {
+	return per.peerAge > 0 && now.Sub(per.peerAgeAt) > msh.maxBatchAge()*3/4
 }
--- a/internal/connection/mesh/seldom_test.go
+++ b/internal/connection/mesh/longinterval_test.go
@@ -11,21 +11,22 @@
 	"chestnutstack/internal/request/shard"
 )
 
-const seldom = 40
+const longInterval = 40
 
-func talkSeldom(one, two *node) {
-	one.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("two", 1): {Intervals: seldom}})
-	two.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("one", 1): {Intervals: seldom}})
+func useLongIntervals(one, two *node) {
+	one.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("two", 1): {Intervals: longInterval}})
+	two.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("one", 1): {Intervals: longInterval}})
 	time.Sleep(10 * time.Second)
 }
 
-// A peer that is called every four seconds goes dark, and is missed after four of its long beats only.
+// A peer that is called every four seconds is cut off; without counting failed calls its loss would be detected only after four
+// of its long intervals.
 func TestInfrequentlyCalledPeerIsDetectedLost(t *testing.T) {
 	inPair(t, func(ntw *pipe.Network, one, two *node) {
 		chk := is.New(t)
-		talkSeldom(one, two)
+		useLongIntervals(one, two)
 		ntw.Separate("one", "two")
-		time.Sleep(seldom*100*time.Millisecond*3/2 + time.Second)
+		time.Sleep(longInterval*100*time.Millisecond*3/2 + time.Second)
 		for _, nod := range []*node{one, two} {
 			_, lost, _ := nod.seen()
 			chk.Equal(lost, 1)
@@ -33,11 +34,11 @@
 	})
 }
 
-// A cut has ended, and peers that call each other seldom go on without each other for as long again.
+// After a partition, peers with a long heartbeat interval must not wait for the rest of it before they connect again.
 func TestInfrequentlyCalledPeerReconnectsSoon(t *testing.T) {
 	inPair(t, func(ntw *pipe.Network, one, two *node) {
 		chk := is.New(t)
-		talkSeldom(one, two)
+		useLongIntervals(one, two)
 		ntw.Separate("one", "two")
 		time.Sleep(20 * time.Second)
 		ntw.Heal()
@@ -49,11 +50,11 @@
 	})
 }
 
-// One call in ten fails, and is not taken for the peer's end.
+// Single calls of a peer with a long heartbeat interval fail, as short partitions come and go; that must not end the session.
 func TestSingleFailedCallsEndNoSession(t *testing.T) {
 	inPair(t, func(ntw *pipe.Network, one, two *node) {
 		chk := is.New(t)
-		talkSeldom(one, two)
+		useLongIntervals(one, two)
 		for range 20 {
 			ntw.Separate("one", "two")
 			time.Sleep(300 * time.Millisecond)
@@ -66,27 +67,28 @@
 	})
 }
 
-// Another instance has missed a peer that is called seldom here: whether it is there shows at once.
+// Another instance reports the loss of a peer with a long heartbeat interval: it is called at once, and lost if it doesn't
+// answer.
 func TestSuspectedPeerIsCalledAtOnce(t *testing.T) {
 	cases := map[string]struct {
-		dark bool
-		lost int
+		partitioned bool
+		lost        int
 	}{
-		"it is there": {lost: 0},
-		"it is dark":  {dark: true, lost: 1},
+		"it is alive":   {lost: 0},
+		"it is cut off": {partitioned: true, lost: 1},
 	}
 	for name, cse := range cases {
 		t.Run(name, func(t *testing.T) {
 			inPair(t, func(ntw *pipe.Network, one, two *node) {
 				chk := is.New(t)
-				talkSeldom(one, two)
-				if cse.dark {
+				useLongIntervals(one, two)
+				if cse.partitioned {
 					ntw.Separate("one", "two")
 				}
 				time.Sleep(150 * time.Millisecond)
 				one.msh.Suspect(mesh.ID("two", 1))
-				one.msh.Suspect(mesh.ID("two", 7))      // Another life.
-				one.msh.Suspect("nobody that is known") // Nonsense of a peer.
+				one.msh.Suspect(mesh.ID("two", 7))      // Another incarnation.
+				one.msh.Suspect("nobody that is known") // An ID that no instance has.
 				time.Sleep(300 * time.Millisecond)
 				_, lost, _ := one.seen()
 				chk.Equal(lost, cse.lost)
--- a/internal/connection/mesh/mesh.go
+++ b/internal/connection/mesh/mesh.go
@@ -16,37 +16,37 @@
 // DialFunc opens a connection; net.Dialer's DialContext is one.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Mesh is an instance's end of the connections to all others.
+// Mesh holds the connections of this instance to all other instances, and the sessions with them.
 type Mesh struct {
 	cfg  Config
 	dial DialFunc
 	hdl  Handler
 	cnt  rpc.Counters
-	// began is when the mesh was made.
-	began time.Time
-	// outstanding counts the bytes of payloads in batches without a receipt.
-	outstanding atomic.Int64
+	// startedAt is when New was called; the process age that batches carry counts from it.
+	startedAt time.Time
+	// unackedPayload counts the bytes of payloads in batches that were not acknowledged yet.
+	unackedPayload atomic.Int64
 
-	// mu guards the peers; it is not held while a Handler works.
+	// mu guards peers, group and ctx; it is not held during calls of the Handler, which may call Send.
 	mu    sync.Mutex
 	peers map[string]*peer
 	group *errgroup.Group
-	ctx   context.Context //nolint:containedctx // set by Run for the peers that are added later
+	ctx   context.Context //nolint:containedctx // set by Run, used for peers that are added later
 }
 
-// New returns a mesh without peers that works while Run does.
+// New returns a mesh without peers; it connects and accepts connections only while Run runs.
 func New(cfg Config, dial DialFunc, hdl Handler) *Mesh {
-	return &Mesh{cfg: cfg, dial: dial, hdl: hdl, began: cfg.Now(), peers: map[string]*peer{}}
+	return &Mesh{cfg: cfg, dial: dial, hdl: hdl, startedAt: cfg.Now(), peers: map[string]*peer{}}
 }
 
-// Stats returns the bytes and calls since the start.
+// Stats returns the bytes and calls since New.
 func (msh *Mesh) Stats() rpc.Stats { return msh.cnt.Stats() }
 
-// UnacknowledgedBytes returns the bytes of payloads that are on their way to other instances: sent and not yet acknowledged, or about
-// to be sent.
-func (msh *Mesh) UnacknowledgedBytes() int64 { return msh.outstanding.Load() * 4 / 3 } // Base64 makes four of three.
+// UnacknowledgedBytes returns the size on the wire, in bytes, of the payloads that wait to be sent to other instances or were
+// sent and not acknowledged yet.
+func (msh *Mesh) UnacknowledgedBytes() int64 { return msh.unackedPayload.Load() * 4 / 3 } // Base64 encodes three bytes as four.
 
-// Run serves and calls until ctx is done.
+// Run accepts connections from lis and calls all peers until ctx is done; it returns the first error of accepting.
 func (msh *Mesh) Run(ctx context.Context, lis net.Listener) error {
 	grp, ctx := errgroup.WithContext(ctx)
 	msh.mu.Lock()
@@ -56,12 +56,12 @@
 	}
 	msh.mu.Unlock()
 	grp.Go(func() error { return msh.serve(ctx, lis) })
-	grp.Go(func() error { return msh.watch(ctx) })
+	grp.Go(func() error { return msh.detectLosses(ctx) })
 	return grp.Wait()
 }
 
-// SetPeers tells the mesh which instances there are, besides its own. Instances are never forgotten: one
-// that is gone costs a refused dial now and then.
+// SetPeers adds the instances that the platform's store lists, except this one, and updates their addresses. Instances are never
+// removed: an instance that is gone only costs a refused dial now and then.
 func (msh *Mesh) SetPeers(prs []Peer) {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// peer returns the peer of a name; the lock is held.
+// peer returns the peer with a name and adds it if it is missing; the caller holds the lock.
 func (msh *Mesh) peer(name string) *peer {
 	per := msh.peers[name]
 	if per == nil {
@@ -95,84 +95,84 @@
 	}
 }
 
-// Send has a message delivered within the session that is in progress; without one it is dropped,
-// as the Handler has been or will be told that the instance was lost.
+// Send queues a message for delivery within the current session with an instance. Without one the message is dropped, as the
+// Handler was or will be told of the loss of that instance.
 func (msh *Mesh) Send(to shard.InstanceID, msg Message) {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
 	name, _ := splitID(to)
 	per := msh.peers[name]
-	if per == nil || !per.up || per.id() != to {
+	if per == nil || !per.established || per.id() != to {
 		return
 	}
-	msh.outstanding.Add(per.push(msg))
-	if !lazy(msg) {
-		per.waitsSince(msh.cfg.Now())
+	msh.unackedPayload.Add(per.enqueue(msg))
+	if !isDeferrable(msg) {
+		per.startAckWait(msh.cfg.Now())
 		signal(per.wake)
 	}
 }
 
-// SetSchedules tells the mesh how to talk to each instance. The side with the faster pace does the calling.
-func (msh *Mesh) SetSchedules(paces map[shard.InstanceID]Schedule) {
+// SetSchedules sets how often each instance gets a heartbeat. The side with the shorter interval calls.
+func (msh *Mesh) SetSchedules(schedules map[shard.InstanceID]Schedule) {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
 	for _, per := range msh.peers {
-		pce := paces[per.id()]
-		per.openOrders = pce.OpenOrders
-		want := time.Duration(pce.Intervals) * msh.cfg.HeartbeatInterval
-		if !per.up || want == 0 || per.interval == want {
+		sch := schedules[per.id()]
+		per.openOrders = sch.OpenOrders
+		want := time.Duration(sch.Intervals) * msh.cfg.HeartbeatInterval
+		if !per.established || want == 0 || per.interval == want {
 			continue
 		}
 		if want < per.interval {
-			per.pacedAt = msh.cfg.Now()
+			per.shortenedAt = msh.cfg.Now()
 			signal(per.wake)
 		}
 		per.interval = want
 	}
 }
 
-// Suspect tells the mesh that another instance has missed a peer: it is asked at once, and given up sooner than its own silence
-// would tell. One that was heard a moment ago is fine.
+// Suspect notes that another instance reported the loss of a peer: the peer is called at once, and is lost if it doesn't answer
+// within Config.CallTimeout. A peer that was heard within the last heartbeat interval isn't suspected.
 func (msh *Mesh) Suspect(id shard.InstanceID) {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
 	name, _ := splitID(id)
 	per := msh.peers[name]
 	now := msh.cfg.Now()
-	if per == nil || !per.up || per.id() != id || per.unheardSince(per.doubtedAt) ||
+	if per == nil || !per.established || per.id() != id || per.unheardSince(per.suspectedAt) ||
 		now.Sub(per.heardAt) < msh.cfg.HeartbeatInterval {
 		return
 	}
-	per.doubtedAt = now
+	per.suspectedAt = now
 	signal(per.wake)
 }
 
-// lazy reports whether a message may wait for the next batch: that a task has begun changes nothing for its
-// owner but whom it calls back, and would be a third of all batches.
-func lazy(msg Message) bool {
+// isDeferrable reports whether a message may wait for the next batch. The report that a task has started is needed by its owner
+// only to choose which orders to recall, and would cause a third of all batches.
+func isDeferrable(msg Message) bool {
 	rep, ok := msg.(Report)
 	return ok && rep.Report.Outcome == shard.Begun
 }
 
-// SendHeartbeats has a beat sent to all at once, also where a session is just coming about: its first beats may have been written down
-// before the news. Two instances that did not know of each other that they were ready both took a shard over, and its
-// jobs waited for a second.
+// SendHeartbeats sends a heartbeat to all instances at once, also to those whose session is just being set up: their first
+// heartbeats may have been encoded before the change. Without it, two instances that did not know that the other was ready both
+// took a shard over, and its jobs waited for a second.
 func (msh *Mesh) SendHeartbeats() { msh.SendHeartbeatsIf(func(shard.InstanceID) bool { return true }) }
 
-// SendHeartbeatsIf is Nudge for the instances of which a condition holds, and for those that were not heard yet.
-func (msh *Mesh) SendHeartbeatsIf(concerns func(id shard.InstanceID) bool) {
+// SendHeartbeatsIf sends a heartbeat to the instances for which needed returns true, and to those without a session.
+func (msh *Mesh) SendHeartbeatsIf(needed func(id shard.InstanceID) bool) {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
 	for _, per := range msh.peers {
-		if !per.up || concerns(per.id()) {
+		if !per.established || needed(per.id()) {
 			signal(per.wake)
 		}
 	}
 }
 
-// watch gives up the sessions of instances that are not heard.
-func (msh *Mesh) watch(ctx context.Context) error {
-	tck := time.NewTicker(msh.cfg.HeartbeatInterval / silenceChecks)
+// detectLosses ends the sessions with instances that were not heard for too long, until ctx is done.
+func (msh *Mesh) detectLosses(ctx context.Context) error {
+	tck := time.NewTicker(msh.cfg.HeartbeatInterval / lossChecks)
 	defer tck.Stop()
 	checked := msh.cfg.Now()
 	for {
@@ -182,53 +182,54 @@
 		case <-tck.C:
 		}
 		now := msh.cfg.Now()
-		late := now.Sub(checked) > msh.cfg.HeartbeatInterval
-		if late {
-			// This process had no processor for a while: what the others sent meanwhile lies unread, and would be
-			// taken for silence. Where orders lie open, a process that is short of processor all the time has to
-			// miss the other all the same; else the next check tells.
+		paused := now.Sub(checked) > msh.cfg.HeartbeatInterval
+		if paused {
+			// This process was paused: what the others sent meanwhile is unread in the sockets, and they would look silent. While
+			// orders are open with a peer, its loss must be detected even by a process that is short of processor all the time;
+			// for the other peers the next check decides.
 			time.Sleep(SocketReadTime)
 			now = msh.cfg.Now()
 		}
 		checked = now
 		msh.mu.Lock()
-		quiet := map[*peer]Cause{}
+		lost := map[*peer]Cause{}
 		for _, per := range msh.peers {
-			if late && !per.openOrders {
+			if paused && !per.openOrders {
 				continue
 			}
-			if cau := per.missing(now, msh.cfg); cau != "" {
-				quiet[per] = cau
+			if cau := per.lossCause(now, msh.cfg); cau != "" {
+				lost[per] = cau
 			}
 		}
 		msh.mu.Unlock()
-		for per, cau := range quiet {
-			msh.lose(per, cau)
+		for per, cau := range lost {
+			msh.endSession(per, cau)
 		}
 	}
 }
 
-// SocketReadTime is what a process that was held up gets to read what has come: some hundred batches on a fifth of a core.
+// SocketReadTime is how long a process that was paused reads what has arrived before it checks for lost peers: enough for some
+// hundred batches on a fifth of a core.
 const SocketReadTime = 20 * time.Millisecond
 
-// silenceChecks is how often within an interval silence is looked for.
-const silenceChecks = 2
+// lossChecks is the number of checks for lost peers in one heartbeat interval.
+const lossChecks = 2
 
-// forget counts the payloads of a session that has ended no more; the lock is held.
-func (msh *Mesh) forget(per *peer) {
-	msh.outstanding.Add(-per.dropped)
-	per.dropped = 0
+// discountDropped subtracts the payloads that an ended session dropped from the unacknowledged ones; the caller holds the lock.
+func (msh *Mesh) discountDropped(per *peer) {
+	msh.unackedPayload.Add(-per.droppedBytes)
+	per.droppedBytes = 0
 }
 
-// lose gives up the session with a peer.
-func (msh *Mesh) lose(per *peer, cau Cause) {
-	per.turn.Lock()
-	defer per.turn.Unlock()
+// endSession ends the session with a peer, if there is one, and tells the Handler.
+func (msh *Mesh) endSession(per *peer, cau Cause) {
+	per.eventMu.Lock()
+	defer per.eventMu.Unlock()
 	msh.mu.Lock()
-	was, had := per.reset()
-	msh.forget(per)
+	former, had := per.end()
+	msh.discountDropped(per)
 	msh.mu.Unlock()
 	if had {
-		msh.hdl.HandleInstanceLost(was, cau)
+		msh.hdl.HandleInstanceLost(former, cau)
 	}
 }
--- a/internal/connection/mesh/mesh_test.go
+++ b/internal/connection/mesh/mesh_test.go
@@ -19,7 +19,7 @@
 	"chestnutstack/internal/version/domainlist"
 )
 
-// node is one end with what it has heard.
+// node is one of two instances of a test, and what its Handler was told.
 type node struct {
 	name string
 	msh  *mesh.Mesh
@@ -27,24 +27,24 @@
 	mu    sync.Mutex
 	got   []string
 	lost  int
-	late  int
+	stale int
 	heard map[shard.InstanceID]int
-	// skipped is what the clock is ahead by, and starved makes it jump each time it is read.
+	// skipped is by how much its clock is ahead; starved makes the clock jump each time it is read.
 	skipped time.Duration
 	starved bool
-	// standsAt is since when the process gets no processor, if it gets none.
-	standsAt time.Time
-	// bound makes all dials of the node hang.
-	bound bool
+	// pausedAt is since when its process is paused; zero if it runs.
+	pausedAt time.Time
+	// dialsHang makes all dials of the node hang.
+	dialsHang bool
 }
 
-// dialer returns the node's way out.
+// dialer returns dial, or one that hangs while dialsHang is set.
 func (nod *node) dialer(dial mesh.DialFunc) mesh.DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		nod.mu.Lock()
-		bnd := nod.bound
+		hng := nod.dialsHang
 		nod.mu.Unlock()
-		if bnd {
+		if hng {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -52,22 +52,22 @@
 	}
 }
 
-// bind makes all dials of the node hang, or ends that.
-func (nod *node) bind(bound bool) {
+// hangDials makes all dials of the node hang, or ends that.
+func (nod *node) hangDials(hang bool) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
-	nod.bound = bound
+	nod.dialsHang = hang
 }
 
-// clock is the time of a process that may get little processor: it jumps by more than a beat each time.
+// clock is the time of a process that may be short of processor: it jumps by more than a heartbeat interval each time it is read.
 func (nod *node) clock() time.Time {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
 	if nod.starved {
 		nod.skipped += 120 * time.Millisecond
 	}
-	if !nod.standsAt.IsZero() {
-		return nod.standsAt.Add(nod.skipped)
+	if !nod.pausedAt.IsZero() {
+		return nod.pausedAt.Add(nod.skipped)
 	}
 	return time.Now().Add(nod.skipped)
 }
@@ -78,18 +78,18 @@
 	nod.starved = true
 }
 
-// stand makes the process see no time pass, until it goes on.
-func (nod *node) stand(ntw *pipe.Network) {
+// pause stops the process, its clock and its connections until resume.
+func (nod *node) pause(ntw *pipe.Network) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
-	nod.standsAt = time.Now()
+	nod.pausedAt = time.Now()
 	ntw.Stall(nod.name)
 }
 
-func (nod *node) goOn(ntw *pipe.Network) {
+func (nod *node) resume(ntw *pipe.Network) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
-	nod.standsAt = time.Time{}
+	nod.pausedAt = time.Time{}
 	ntw.Resume(nod.name)
 }
 
@@ -99,7 +99,7 @@
 	}, ClosedDomains: domainlist.View{End: 4, Closed: []string{"b", "c"}}}
 }
 
-func (nod *node) HandleBatch(from shard.InstanceID, _ time.Time, bet mesh.Heartbeat, msgs []mesh.Message) {
+func (nod *node) HandleBatch(from shard.InstanceID, _ time.Time, hbt mesh.Heartbeat, msgs []mesh.Message) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
 	nod.heard[from]++
@@ -108,16 +108,16 @@
 			nod.got = append(nod.got, wdr.Task)
 		}
 	}
-	if bet.TokenRound != 7 || bet.Processor != 0.4 || bet.Divisions["a"].Count != 2 ||
-		bet.ClosedDomains.End != 4 || !slices.Equal(bet.ClosedDomains.Closed, []string{"b", "c"}) {
-		nod.got = append(nod.got, "beat is garbled")
+	if hbt.TokenRound != 7 || hbt.Processor != 0.4 || hbt.Divisions["a"].Count != 2 ||
+		hbt.ClosedDomains.End != 4 || !slices.Equal(hbt.ClosedDomains.Closed, []string{"b", "c"}) {
+		nod.got = append(nod.got, "heartbeat is garbled")
 	}
 }
 
 func (nod *node) HandleStaleBatch(shard.InstanceID, time.Duration, int) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
-	nod.late++
+	nod.stale++
 }
 
 func (nod *node) HandleInstanceLost(id shard.InstanceID, _ mesh.Cause) {
@@ -133,7 +133,7 @@
 	return append([]string(nil), nod.got...), nod.lost, len(nod.heard) > 0
 }
 
-// inPair runs a test with two ends that know each other.
+// inPair runs a test with two instances that have a session.
 func inPair(t *testing.T, body func(ntw *pipe.Network, one, two *node)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -167,8 +167,8 @@
 }
 
 func TestMessagesArriveOnceAndInOrder(t *testing.T) {
-	// Connections fall silent again and again while messages are sent; batches whose receipt is lost are sent again.
-	// Each message arrives once, in order, as long as the session lasts.
+	// Connections stop delivering again and again while messages are sent, and batches whose receipts are lost are sent again.
+	// Guards against lost, doubled and reordered messages within a session.
 	inPair(t, func(ntw *pipe.Network, one, two *node) {
 		chk := is.New(t)
 		var want []string
@@ -188,8 +188,8 @@
 }
 
 func TestPartitionEndsSessionOnBothSides(t *testing.T) {
-	// A cut lasts longer than the silence. Both ends are told once that the other was lost; what was sent meanwhile
-	// never arrives; and after the cut one session is up, without resets that call each other forth.
+	// A partition outlasts the timeout of the session. Each side is told of one loss, messages sent during the partition are
+	// never delivered, and afterwards one session is established, without resets that cause each other.
 	inPair(t, func(ntw *pipe.Network, one, two *node) {
 		chk := is.New(t)
 		ntw.Separate("one", "two")
@@ -214,17 +214,17 @@
 }
 
 func TestRaisedHeartbeatRateIsNotSilence(t *testing.T) {
-	// Two ends that owe each other nothing beat once a second. When one comes to depend on the other the pace is raised,
-	// and the second without a beat is not taken for silence.
+	// Two instances exchange a heartbeat a second, until one comes to depend on the other and the interval is shortened. The time
+	// before, longer than the new timeout, must not count as silence.
 	inPair(t, func(_ *pipe.Network, one, two *node) {
 		chk := is.New(t)
-		pace := func(intervals int) {
+		setInterval := func(intervals int) {
 			one.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("two", 1): {Intervals: intervals}})
 			two.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("one", 1): {Intervals: intervals}})
 		}
-		pace(10)
+		setInterval(10)
 		time.Sleep(20 * time.Second)
-		pace(1)
+		setInterval(1)
 		time.Sleep(2 * time.Second)
 		for _, nod := range []*node{one, two} {
 			_, lost, hears := nod.seen()
@@ -235,14 +235,13 @@
 }
 
 func TestPausedProcessDetectsLostPeer(t *testing.T) {
-	// A process gets so little processor that each check for silence comes late, and its peer goes dark. It has to miss
-	// the peer all the same: what it runs for the peer's callers is sent elsewhere by then.
-	// An instance to which it owes nothing is not missed: a weak machine that has just started took shards from leaders
-	// that were fine.
-	for owes, want := range map[bool]int{true: 1, false: 0} {
+	// Every check for losses comes late, as the process is short of processor. It must detect a lost peer all the same while
+	// orders are open, as their tasks are sent elsewhere; else it mustn't: a slow machine that had just started took shards from
+	// live leaders.
+	for openOrders, want := range map[bool]int{true: 1, false: 0} {
 		inPair(t, func(ntw *pipe.Network, one, _ *node) {
 			chk := is.New(t)
-			one.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("two", 1): {Intervals: 1, OpenOrders: owes}})
+			one.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("two", 1): {Intervals: 1, OpenOrders: openOrders}})
 			one.starve()
 			ntw.Separate("one", "two")
 			time.Sleep(600 * time.Millisecond)
@@ -253,8 +252,8 @@
 }
 
 func TestAddressLearnedFromIncomingCall(t *testing.T) {
-	// An instance has started again at another address, and the store can't be asked for the new one. It calls the other
-	// end, which has something to tell it and learns the way from the call.
+	// An instance has restarted at another address, which the store can't be asked for. The other side has a message for it, and
+	// learns the address from its call.
 	inPair(t, func(_ *pipe.Network, one, two *node) {
 		chk := is.New(t)
 		two.msh.SetPeers([]mesh.Peer{{Name: "one", Address: "gone:1"}})
@@ -267,11 +266,11 @@
 }
 
 func TestUnacknowledgedMessagesEndSession(t *testing.T) {
-	// An end hears its peer and can't reach it: its connections have gone silent, and new ones don't come about. What it
-	// has to tell would never arrive, and the peer would wait for it. It gives the session up, and the peer learns that.
+	// An instance hears its peer but can't reach it: its connections deliver nothing and dials hang. The peer would wait for ever
+	// for its messages, so both sides have to end the session.
 	inPair(t, func(ntw *pipe.Network, one, two *node) {
 		chk := is.New(t)
-		two.bind(true)
+		two.hangDials(true)
 		ntw.Forget("one", "two")
 		time.Sleep(300 * time.Millisecond)
 		two.send("one", 7)
@@ -284,23 +283,22 @@
 }
 
 func TestStaleBatchIsRejected(t *testing.T) {
-	// An order is sent to an instance whose process gets no processor. Its sender gives the session up and sends the task
-	// elsewhere. The process goes on, is late at each check and so misses nobody, reads the order from its socket, and would
-	// start what runs elsewhere by then. It sees that the sender has heard nothing of it for too long.
-	late := 0
-	for range 5 { // In one play of some hundred the connection ends before the order is read.
+	// A paused process resumes, detects no loss as its checks are late, and reads an order whose sender has ended the session and
+	// sent the task elsewhere. It mustn't run it, and knows from the process ages in the batch that it is stale.
+	stale := 0
+	for range 5 { // In about one of a hundred runs the connection ends before the order is read.
 		inPair(t, func(ntw *pipe.Network, one, two *node) {
 			chk := is.New(t)
-			two.stand(ntw)
+			two.pause(ntw)
 			one.send("two", 1)
 			time.Sleep(10 * time.Millisecond)
-			one.bind(true) // What it says afterwards would end the session first, if it were read first.
+			one.hangDials(true) // A later batch would end the session first, if it were read first.
 			time.Sleep(time.Second)
 			_, lost, _ := one.seen()
-			chk.Equal(lost, 1) // The sender has given up.
-			two.goOn(ntw)
+			chk.Equal(lost, 1) // The sender has ended the session.
+			two.resume(ntw)
 			time.Sleep(100 * time.Millisecond)
-			one.bind(false)
+			one.hangDials(false)
 			time.Sleep(time.Second)
 			one.send("two", 2)
 			time.Sleep(100 * time.Millisecond)
@@ -308,18 +306,18 @@
 			chk.Equal(got, []string{"2"})
 			chk.True(hears)
 			two.mu.Lock()
-			late += two.late
+			stale += two.stale
 			two.mu.Unlock()
 		})
 	}
-	if late == 0 {
-		t.Error("no batch was taken for late")
+	if stale == 0 {
+		t.Error("no batch was rejected as stale")
 	}
 }
 
 func TestBatchAfterIdlePeriodArrives(t *testing.T) {
-	// Two ends beat once a second, and one of them has an order for the other long after it last heard of it. The first try
-	// only brings it up to date; the order still arrives within a few milliseconds.
+	// Two instances exchange a heartbeat a second, and one has a message long after it last heard the other. The first batch only
+	// renews the process age; the message still arrives within a few milliseconds.
 	inPair(t, func(_ *pipe.Network, one, two *node) {
 		chk := is.New(t)
 		one.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("two", 1): {Intervals: 10}})
--- a/internal/connection/mesh/send.go
+++ b/internal/connection/mesh/send.go
@@ -14,39 +14,39 @@
 	"chestnutstack/internal/connection/rpc"
 )
 
-// line is the connection on which a peer is called.
-type line struct {
+// callConn is the outgoing connection to a peer and the address that it was dialled at.
+type callConn struct {
 	cnn     *jsonrpc2.Conn
 	address string
 }
 
-// runPeer delivers batches to a peer, one at a time, whenever there is something to send or a beat is due.
+// runPeer sends batches to a peer, one at a time, whenever messages wait or a heartbeat is due, until ctx is done.
 func (msh *Mesh) runPeer(ctx context.Context, per *peer) error {
-	var lin line
-	defer lin.drop()
+	var ccn callConn
+	defer ccn.disconnect()
 	for {
-		gone := lin.gone()
+		gone := ccn.disconnected()
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-per.wake:
 		case <-gone:
-			// The process at the other end may have died; a dial shows it at once.
-		case <-time.After(msh.interval(per)):
-			if msh.informed(per) {
+			// The peer's process may have died; a refused dial proves it at once.
+		case <-time.After(msh.callInterval(per)):
+			if msh.repliedLately(per) {
 				continue
 			}
 		}
-		if err := msh.deliver(ctx, per, &lin); err != nil && ctx.Err() == nil {
-			lin.drop()
-			msh.failed(ctx, per, err)
+		if err := msh.deliver(ctx, per, &ccn); err != nil && ctx.Err() == nil {
+			ccn.disconnect()
+			msh.handleFailedCall(ctx, per, err)
 		}
 	}
 }
 
-// interval returns the pause until a peer is called again. The pauses with those that are called seldom differ, so that they are not
-// called all at once.
-func (msh *Mesh) interval(per *peer) time.Duration {
+// callInterval returns the time until a peer is called again. Intervals longer than the shortest one are spread by the names of
+// the two instances, so that not all peers are called at once.
+func (msh *Mesh) callInterval(per *peer) time.Duration {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
 	if per.interval <= msh.cfg.HeartbeatInterval {
@@ -56,31 +56,31 @@
 	return per.interval/2 + per.interval*time.Duration(part)/spreadParts
 }
 
-// spreadParts is into how many parts the pauses are spread.
+// spreadParts is the number of different lengths of an interval.
 const spreadParts = 64
 
-// informed reports whether the peer has called within the interval, and so was told the beat.
-func (msh *Mesh) informed(per *peer) bool {
+// repliedLately reports whether a batch of the peer was answered within its interval, so that it has a heartbeat already.
+func (msh *Mesh) repliedLately(per *peer) bool {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
-	return per.up && msh.cfg.Now().Sub(per.answeredAt) < per.interval
+	return per.established && msh.cfg.Now().Sub(per.repliedAt) < per.interval
 }
 
-// failed deals with a batch that has no receipt: a refused dial proves that the process is gone, anything
-// else is tried again on a fresh connection until the silence has lasted too long.
-func (msh *Mesh) failed(ctx context.Context, per *peer, err error) {
+// handleFailedCall deals with a batch that got no receipt. A refused dial proves that the peer's process has ended; after any
+// other error the batch is sent again on a new connection until the peer is lost.
+func (msh *Mesh) handleFailedCall(ctx context.Context, per *peer, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		msh.lose(per, Refused)
+		msh.endSession(per, Refused)
 	}
 	msh.mu.Lock()
-	heard := per.up
-	if heard && !per.unheardSince(per.failingSince) {
+	established := per.established
+	if established && !per.unheardSince(per.failingSince) {
 		per.failingSince = msh.cfg.Now()
 	}
 	msh.mu.Unlock()
 	pause := msh.cfg.HeartbeatInterval
-	if heard {
-		pause = retryPause
+	if established {
+		pause = retryDelay
 		signal(per.wake)
 	}
 	select {
@@ -89,34 +89,34 @@
 	}
 }
 
-// retryPause is the pause between tries to reach a peer that was heard a moment ago.
-const retryPause = 10 * time.Millisecond
+// retryDelay is the time between calls of a peer with an established session that can't be reached.
+const retryDelay = 10 * time.Millisecond
 
-func (lin *line) gone() <-chan struct{} {
-	if lin.cnn == nil {
+func (ccn *callConn) disconnected() <-chan struct{} {
+	if ccn.cnn == nil {
 		return nil
 	}
-	return lin.cnn.DisconnectNotify()
+	return ccn.cnn.DisconnectNotify()
 }
 
-func (lin *line) drop() {
-	if lin.cnn != nil {
-		_ = lin.cnn.Close() // It may be closed already.
-		lin.cnn = nil
+func (ccn *callConn) disconnect() {
+	if ccn.cnn != nil {
+		_ = ccn.cnn.Close() // It may be closed already.
+		ccn.cnn = nil
 	}
 }
 
-// deliver sends what is waiting, or the batch whose receipt did not come, and takes the receipt in.
-func (msh *Mesh) deliver(ctx context.Context, per *peer, lin *line) error {
-	patience := msh.patience(per)
+// deliver sends the next batch, or once more the one without a receipt, and handles the receipt.
+func (msh *Mesh) deliver(ctx context.Context, per *peer, ccn *callConn) error {
+	timeout := msh.receiptTimeout(per)
 	began := msh.cfg.Now()
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	dlv, address := msh.batch(per)
+	dlv, address := msh.nextBatch(per)
 	if address == "" {
 		return nil
 	}
-	if err := msh.connect(ctx, lin, address); err != nil {
+	if err := msh.connect(ctx, ccn, address); err != nil {
 		return err
 	}
 	data, err := proto.Marshal(dlv)
@@ -125,116 +125,118 @@
 	}
 	msh.cnt.CountCall()
 	var ans []byte
-	err = lin.cnn.Call(ctx, methodDeliver, data, &ans)
-	msh.took(per, msh.cfg.Now().Sub(began))
+	err = ccn.cnn.Call(ctx, methodDeliver, data, &ans)
+	msh.noteAckTime(per, msh.cfg.Now().Sub(began))
 	if err != nil {
-		return errors.Wrap(err, "deliver")
+		return errors.Wrap(err, "deliver batch")
 	}
 	rcp := &meshpb.Receipt{}
 	if err := proto.Unmarshal(ans, rcp); err != nil {
-		return errors.Wrap(err, "receipt")
+		return errors.Wrap(err, "decode receipt")
 	}
-	msh.receipt(per, began, dlv, rcp)
+	msh.handleReceipt(per, began, dlv, rcp)
 	return nil
 }
 
-// patience returns how long to wait for a receipt. Two links on which starts queue take longer than a sound way ever does;
-// a batch that is sent again on a fresh connection then comes even later, until the peer is missed that is fine.
-func (msh *Mesh) patience(per *peer) time.Duration {
+// receiptTimeout returns how long to wait for a receipt: it grows with the times that receipts have taken. Where orders queue on
+// the links of both sides, a receipt takes longer than CallTimeout. Sending the batch again on a new connection would delay it
+// further, until a live peer is taken for lost.
+func (msh *Mesh) receiptTimeout(per *peer) time.Duration {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
-	return per.receipts.Patience(msh.cfg.CallTimeout, time.Duration(msh.cfg.MissedHeartbeats)*msh.cfg.HeartbeatInterval)
+	return per.ackTimes.Patience(msh.cfg.CallTimeout, time.Duration(msh.cfg.MissedHeartbeats)*msh.cfg.HeartbeatInterval)
 }
 
-func (msh *Mesh) took(per *peer, dur time.Duration) {
+func (msh *Mesh) noteAckTime(per *peer, dur time.Duration) {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
-	per.receipts.Add(dur)
+	per.ackTimes.Add(dur)
 }
 
-// batch returns what is to be delivered next.
-func (msh *Mesh) batch(per *peer) (*meshpb.Delivery, string) {
-	// The age is taken first: what the beat says is no older. The Handler may call Send under its own lock.
+// nextBatch returns the batch to send next and the peer's address; the address is empty if it isn't known.
+func (msh *Mesh) nextBatch(per *peer) (*meshpb.Delivery, string) {
+	// The age is taken before the heartbeat, which is therefore at least as new. The lock isn't held yet, as the Handler may call
+	// Send under its own lock.
 	now := msh.cfg.Now()
-	bet := msh.hdl.Heartbeat()
+	hbt := msh.hdl.Heartbeat()
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
-	if per.up && !per.counted && len(per.outbox) > 0 {
-		per.sending, per.outbox, per.counted = per.outbox, nil, true
-		per.sendingBytes, per.waitingBytes = per.waitingBytes, 0
-		per.sequence++
+	if per.established && !per.numbered && len(per.outbox) > 0 {
+		per.inFlight, per.outbox, per.numbered = per.outbox, nil, true
+		per.inFlightBytes, per.outboxBytes = per.outboxBytes, 0
+		per.sentSequence++
 	}
-	if len(per.sending) > 0 {
-		per.waitsSince(now)
+	if len(per.inFlight) > 0 {
+		per.startAckWait(now)
 	}
 	dlv := &meshpb.Delivery{
-		From: msh.cfg.Name, Address: msh.cfg.Address, Own: per.own.encode(), Other: per.other.encode(),
-		Beat:      encodeBeat(per.news(bet)),
-		AgeMicros: msh.age(now).Microseconds(), HeardAgeMicros: per.heardAge.Microseconds(),
+		From: msh.cfg.Name, Address: msh.cfg.Address, Own: per.ownEpoch.encode(), Other: per.peerEpoch.encode(),
+		Beat:      encodeHeartbeat(per.withoutKnown(hbt)),
+		AgeMicros: msh.age(now).Microseconds(), HeardAgeMicros: per.peerAge.Microseconds(),
 	}
-	if !per.counted || msh.outdated(per, now) {
-		return dlv, per.address // It has a beat only, and no number.
+	if !per.numbered || msh.isAgeOutdated(per, now) {
+		return dlv, per.address // It has only a heartbeat, and no sequence number.
 	}
-	dlv.Sequence = per.sequence
-	for _, msg := range per.sending {
-		add(dlv, now, msg)
+	dlv.Sequence = per.sentSequence
+	for _, msg := range per.inFlight {
+		appendMessage(dlv, now, msg)
 	}
 	return dlv, per.address
 }
 
-func (msh *Mesh) connect(ctx context.Context, lin *line, address string) error {
-	if lin.cnn != nil && lin.address == address {
+func (msh *Mesh) connect(ctx context.Context, ccn *callConn, address string) error {
+	if ccn.cnn != nil && ccn.address == address {
 		select {
-		case <-lin.cnn.DisconnectNotify():
+		case <-ccn.cnn.DisconnectNotify():
 		default:
 			return nil
 		}
 	}
-	lin.drop()
+	ccn.disconnect()
 	raw, err := msh.dial(ctx, "tcp", address)
 	if err != nil {
 		return errors.Wrap(err, "dial")
 	}
 	con := rpc.WrapConn(raw, &msh.cnt, msh.cfg.CallTimeout)
-	// The connection outlives the call that opened it, so it isn't bound to the call's context.
-	lin.cnn = rpc.NewConn(context.Background(), con, maxMessage, rpc.RefuseAll{})
-	lin.address = address
+	// The connection is used beyond the call that opened it, so it isn't bound to the call's context.
+	ccn.cnn = rpc.NewConn(context.Background(), con, maxMessage, rpc.RefuseAll{})
+	ccn.address = address
 	return nil
 }
 
-// receipt takes in the answer to a batch that began to be sent at a time.
-func (msh *Mesh) receipt(per *peer, began time.Time, dlv *meshpb.Delivery, rcp *meshpb.Receipt) {
-	per.turn.Lock()
-	defer per.turn.Unlock()
+// handleReceipt handles the receipt of a batch whose sending began at a time.
+func (msh *Mesh) handleReceipt(per *peer, began time.Time, dlv *meshpb.Delivery, rcp *meshpb.Receipt) {
+	per.eventMu.Lock()
+	defer per.eventMu.Unlock()
 	msh.mu.Lock()
 	now := msh.cfg.Now()
-	current, was, ended := per.greet(now, greetingOf(rcp))
-	if current && !rcp.GetStale() && per.counted && per.sequence == dlv.GetSequence() && greetingOf(dlv).from == per.own {
-		msh.outstanding.Add(-per.delivered(now))
+	current, former, ended := per.handleGreeting(now, greetingOf(rcp))
+	if current && !rcp.GetStale() && per.numbered && per.sentSequence == dlv.GetSequence() && greetingOf(dlv).from == per.ownEpoch {
+		msh.unackedPayload.Add(-per.acknowledge(now))
 	}
 	if current {
-		// The receipt is from the life of the session: it proves that the peer was there when the batch came.
-		per.noteAge(now, ageOf(rcp))
+		// The receipt belongs to the current session, so the peer was alive when it received the batch.
+		per.notePeerAge(now, agesOf(rcp))
 		msh.noteHeard(per, now, began)
 	}
-	if current && len(per.sending) > 0 {
-		signal(per.wake) // The peer has not taken them, as the time that the batch told was too old.
+	if current && len(per.inFlight) > 0 {
+		signal(per.wake) // The peer rejected the batch as stale, by the peer age that it carried; send it again.
 	}
-	msh.forget(per)
+	msh.discountDropped(per)
 	id, heardAt := per.id(), per.heardAt
-	bet := decodeBeat(rcp.GetBeat())
+	hbt := decodeHeartbeat(rcp.GetBeat())
 	if current && rcp.GetBeat() != nil {
-		bet = per.newest(bet, ageOf(rcp).own)
-		// Without a beat of its own the peer has taken none: it did not know the session yet.
-		if dvs := decodeBeat(dlv.GetBeat()).Divisions; len(dvs) > 0 {
-			per.toldDivisions = dvs
+		hbt = per.mergeHeartbeat(hbt, agesOf(rcp).own)
+		// A receipt without a heartbeat means that the peer did not know the session yet and ignored the heartbeat of the batch.
+		if dvs := decodeHeartbeat(dlv.GetBeat()).Divisions; len(dvs) > 0 {
+			per.ackedDivisions = dvs
 		}
 	}
 	msh.mu.Unlock()
 	if ended {
-		msh.hdl.HandleInstanceLost(was, Reset)
+		msh.hdl.HandleInstanceLost(former, Reset)
 	}
 	if current && rcp.GetBeat() != nil {
-		msh.hdl.HandleBatch(id, heardAt, bet, nil)
+		msh.hdl.HandleBatch(id, heardAt, hbt, nil)
 	}
 }
--- a/internal/connection/mesh/serve.go
+++ b/internal/connection/mesh/serve.go
@@ -14,7 +14,7 @@
 	"chestnutstack/internal/connection/rpc"
 )
 
-// serve accepts connections until ctx is done.
+// serve accepts connections of other instances and handles their batches until ctx is done.
 func (msh *Mesh) serve(ctx context.Context, lis net.Listener) error {
 	grp, ctx := errgroup.WithContext(ctx)
 	grp.Go(func() error {
@@ -26,13 +26,13 @@
 			con, err := lis.Accept()
 			if ctx.Err() != nil {
 				if err == nil {
-					// Left open, it would hold the caller up until its write deadline.
+					// Left open, the connection would block the caller until its write deadline.
 					_ = con.Close()
 				}
 				return nil
 			}
 			if err != nil {
-				return errors.Wrap(err, "accept a peer")
+				return errors.Wrap(err, "accept peer connection")
 			}
 			grp.Go(func() error {
 				msh.serveConn(ctx, con)
@@ -45,7 +45,7 @@
 
 func (msh *Mesh) serveConn(ctx context.Context, raw net.Conn) {
 	con := rpc.WrapConn(raw, &msh.cnt, msh.cfg.CallTimeout)
-	cnn := rpc.NewConn(ctx, con, maxMessage, receiver{msh: msh})
+	cnn := rpc.NewConn(ctx, con, maxMessage, deliveryHandler{msh: msh})
 	select {
 	case <-cnn.DisconnectNotify():
 	case <-ctx.Done():
@@ -53,16 +53,16 @@
 	}
 }
 
-// receiver takes batches in the order of their arrival.
-type receiver struct{ msh *Mesh }
+// deliveryHandler handles batches in the order of their arrival.
+type deliveryHandler struct{ msh *Mesh }
 
 // Handle implements jsonrpc2.Handler.
-func (rcv receiver) Handle(ctx context.Context, cnn *jsonrpc2.Conn, req *jsonrpc2.Request) {
+func (hdl deliveryHandler) Handle(ctx context.Context, cnn *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	dlv, err := decodeDelivery(req)
 	if err == nil {
 		var data []byte
-		if data, err = proto.Marshal(rcv.msh.take(dlv)); err == nil {
-			_ = cnn.Reply(ctx, req.ID, data) // The connection is gone; there is nobody to tell.
+		if data, err = proto.Marshal(hdl.msh.handleDelivery(dlv)); err == nil {
+			_ = cnn.Reply(ctx, req.ID, data) // An error means that the connection is closed, and no one is left to tell.
 			return
 		}
 	}
@@ -72,15 +72,15 @@
 
 func decodeDelivery(req *jsonrpc2.Request) (*meshpb.Delivery, error) {
 	if req.Method != methodDeliver || req.Params == nil {
-		return nil, errors.New("want a delivery")
+		return nil, errors.New("expected a deliver request with parameters")
 	}
 	var data []byte
 	if err := json.Unmarshal(*req.Params, &data); err != nil {
-		return nil, errors.Wrap(err, "delivery")
+		return nil, errors.Wrap(err, "decode delivery")
 	}
 	dlv := &meshpb.Delivery{}
 	if err := proto.Unmarshal(data, dlv); err != nil {
-		return nil, errors.Wrap(err, "delivery")
+		return nil, errors.Wrap(err, "decode delivery")
 	}
 	if dlv.GetFrom() == "" {
 		return nil, errors.New("delivery without a sender")
@@ -88,47 +88,48 @@
 	return dlv, nil
 }
 
-// take hands a batch to the Handler, once.
-func (msh *Mesh) take(dlv *meshpb.Delivery) *meshpb.Receipt {
+// handleDelivery passes a batch to the Handler, each sequence number once, and returns the receipt.
+func (msh *Mesh) handleDelivery(dlv *meshpb.Delivery) *meshpb.Receipt {
 	msh.mu.Lock()
 	per := msh.peer(dlv.GetFrom())
 	msh.mu.Unlock()
-	// A batch that its sender has sent again comes here while the first try is still at work.
-	per.turn.Lock()
-	defer per.turn.Unlock()
+	// A batch that was sent again may arrive while its first copy is still being handled.
+	per.eventMu.Lock()
+	defer per.eventMu.Unlock()
 	msh.mu.Lock()
 	now := msh.cfg.Now()
-	before := per.up
-	if adr := dlv.GetAddress(); adr != "" && !decodeEpoch(dlv.GetOwn()).before(per.other) {
-		// The list may be out of reach, and the peer's machine may have been replaced by one at another address.
+	before := per.established
+	if adr := dlv.GetAddress(); adr != "" && !decodeEpoch(dlv.GetOwn()).before(per.peerEpoch) {
+		// The platform's store may be unreachable while the peer's machine was replaced by one with another address, so the
+		// address that the peer itself sends is used.
 		per.address = adr
 	}
-	current, was, ended := per.greet(now, greetingOf(dlv))
-	said := msh.sentAfter(now, ageOf(dlv))
-	fresh := msh.isFresh(now, said)
-	next := current && fresh && dlv.GetSequence() > 0 && per.isNext(dlv.GetSequence())
+	current, former, ended := per.handleGreeting(now, greetingOf(dlv))
+	sent := msh.sentAfter(now, agesOf(dlv))
+	fresh := msh.isFresh(now, sent)
+	next := current && fresh && dlv.GetSequence() > 0 && per.accept(dlv.GetSequence())
 	if current {
-		per.noteAge(now, ageOf(dlv))
-		msh.noteHeard(per, now, said)
-		per.answeredAt = now
+		per.notePeerAge(now, agesOf(dlv))
+		msh.noteHeard(per, now, sent)
+		per.repliedAt = now
 	}
-	if per.up != before || !current {
-		// The other side is to hear at once that the session is up, or what it lacks for that.
+	if per.established != before || !current {
+		// The peer needs a batch at once, to learn that the session is established or which epoch it lacks for that.
 		signal(per.wake)
 	}
-	msh.forget(per)
+	msh.discountDropped(per)
 	id, heardAt := per.id(), per.heardAt
-	bet := decodeBeat(dlv.GetBeat())
+	hbt := decodeHeartbeat(dlv.GetBeat())
 	if current {
-		bet = per.newest(bet, ageOf(dlv).own)
+		hbt = per.mergeHeartbeat(hbt, agesOf(dlv).own)
 	}
 	rcp := &meshpb.Receipt{
-		Own: per.own.encode(), Other: per.other.encode(), Stale: !fresh,
-		AgeMicros: msh.age(now).Microseconds(), HeardAgeMicros: per.heardAge.Microseconds(),
+		Own: per.ownEpoch.encode(), Other: per.peerEpoch.encode(), Stale: !fresh,
+		AgeMicros: msh.age(now).Microseconds(), HeardAgeMicros: per.peerAge.Microseconds(),
 	}
 	msh.mu.Unlock()
 	if ended {
-		msh.hdl.HandleInstanceLost(was, Reset)
+		msh.hdl.HandleInstanceLost(former, Reset)
 	}
 	if !current {
 		return rcp
@@ -138,14 +139,14 @@
 		msgs = decodeMessages(dlv, now, id)
 	}
 	if num := len(dlv.GetMessages()); num > 0 && !fresh {
-		msh.hdl.HandleStaleBatch(id, now.Sub(said), num)
+		msh.hdl.HandleStaleBatch(id, now.Sub(sent), num)
 	}
-	msh.hdl.HandleBatch(id, heardAt, bet, msgs)
-	// The age is taken first: what the beat says is no older.
+	msh.hdl.HandleBatch(id, heardAt, hbt, msgs)
+	// The age is taken before the heartbeat, which is therefore at least as new.
 	rcp.AgeMicros = msh.age(msh.cfg.Now()).Microseconds()
 	own := msh.hdl.Heartbeat()
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
-	rcp.Beat = encodeBeat(per.news(own))
+	rcp.Beat = encodeHeartbeat(per.withoutKnown(own))
 	return rcp
 }
--- a/internal/connection/mesh/session.go
+++ b/internal/connection/mesh/session.go
@@ -12,171 +12,173 @@
 	"chestnutstack/internal/request/shard"
 )
 
-// ID returns the name of one life of an instance.
-func ID(name string, life int64) shard.InstanceID {
-	return shard.InstanceID(name + "/" + strconv.FormatInt(life, 10))
+// ID returns the ID of an instance in one incarnation, NAME/INCARNATION.
+func ID(name string, incarnation int64) shard.InstanceID {
+	return shard.InstanceID(name + "/" + strconv.FormatInt(incarnation, 10))
 }
 
-// splitID returns the name and the life that an ID was made of.
-func splitID(id shard.InstanceID) (name string, life int64) {
+// splitID returns the name and the incarnation in an ID; the incarnation is 0 if it has none.
+func splitID(id shard.InstanceID) (name string, incarnation int64) {
 	idx := strings.LastIndexByte(string(id), '/')
 	if idx < 0 {
 		return string(id), 0
 	}
-	life, _ = strconv.ParseInt(string(id[idx+1:]), 10, 64) // It was made by ID; another one names no life.
-	return string(id[:idx]), life
+	incarnation, _ = strconv.ParseInt(string(id[idx+1:]), 10, 64) // IDs made by ID always parse; any other gives incarnation 0, which no instance has.
+	return string(id[:idx]), incarnation
 }
 
-// epoch is one side's part of a session: the life of its process and how often it has given up sessions
-// with the other in that life.
-type epoch struct{ life, generation int64 }
+// epoch is one side's part of a session's identity: the incarnation of its process, and the number of sessions with the other
+// side that it has ended in that incarnation.
+type epoch struct{ incarnation, generation int64 }
 
 func (epo epoch) before(oth epoch) bool {
-	return epo.life < oth.life || epo.life == oth.life && epo.generation < oth.generation
+	return epo.incarnation < oth.incarnation || epo.incarnation == oth.incarnation && epo.generation < oth.generation
 }
 
-// peer is this instance's end of the sessions with another one; it is guarded by the mesh's lock.
+// peer is the state of the sessions with another instance; it is guarded by the mesh's lock.
 //
-// A session is up from the moment when both sides know each other's epoch. A side that gives it up raises its
-// own generation, and the other follows once; a side that has none up does not follow, or two resets that
-// meet would call each other forth for ever.
+// A session is established once both sides know each other's epoch. A side that ends it raises its own generation, and the other
+// side ends it in turn, once. A side without an established session ends none, as otherwise two resets that cross each other
+// would cause further resets for ever.
 type peer struct {
-	name, address string
-	own, other    epoch
-	// made is the id of the life madeFor.
-	made    shard.InstanceID
-	madeFor int64
-	up      bool
-	// sequence counts the batches of the session that were sent, inSequence those that were taken.
-	sequence, inSequence int64
-	outbox               []Message
-	// sending is the batch that has no receipt yet.
-	sending []Message
-	counted bool
-	// waitingBytes are those of the payloads in outbox, sendingBytes in sending; dropped ones await their end in the count.
-	waitingBytes, sendingBytes, dropped int64
-	// divisions are those that the peer has last told in this session, toldDivisions those that it surely has from here.
-	divisions, toldDivisions map[string]shard.Division
-	heardAt                  time.Time
-	// heardAge is the newest age of the peer's process that was heard, at heardAgeAt.
-	heardAge   time.Duration
-	heardAgeAt time.Time
-	// beat is the peer's newest, told at beatAge.
-	beat    Heartbeat
-	beatAge time.Duration
-	// turn is held from a change of the session until the Handler has heard of it, so that it hears of all in order. It is taken
-	// before the mesh's lock.
-	turn sync.Mutex
-	// stuckSince is since when something waits for its receipt.
-	stuckSince time.Time
-	// answeredAt is when a batch of the peer's was last answered, with a beat.
-	answeredAt time.Time
-	// interval is the pause between beats, since pacedAt.
-	interval   time.Duration
-	pacedAt    time.Time
-	openOrders bool
-	// failingSince is since when calls of the peer fail, doubtedAt when another instance has told that it missed the peer. Neither
-	// counts once the peer was heard after it.
-	failingSince, doubtedAt time.Time
-	// receipts are the times until receipts came.
-	receipts roundtrip.Estimate
+	name, address       string
+	ownEpoch, peerEpoch epoch
+	// cachedID is the ID of the peer's incarnation cachedFor.
+	cachedID    shard.InstanceID
+	cachedFor   int64
+	established bool
+	// sentSequence is the number of the last batch that was sent in the session, receivedSequence that of the last one accepted.
+	sentSequence, receivedSequence int64
+	outbox                         []Message
+	// inFlight are the messages of the batch that was not acknowledged yet. It is numbered once it got its sequence number.
+	inFlight []Message
+	numbered bool
+	// outboxBytes and inFlightBytes count the bytes of the payloads in outbox and inFlight. droppedBytes are payloads of ended
+	// sessions that Mesh.unackedPayload still counts.
+	outboxBytes, inFlightBytes, droppedBytes int64
+	// divisions are the peer's latest in this session; ackedDivisions are those of this instance that the peer has acknowledged.
+	divisions, ackedDivisions map[string]shard.Division
+	heardAt                   time.Time
+	// peerAge is the highest process age that the peer has sent, received at peerAgeAt.
+	peerAge   time.Duration
+	peerAgeAt time.Time
+	// heartbeat is the peer's latest, sent at its process age heartbeatAge.
+	heartbeat    Heartbeat
+	heartbeatAge time.Duration
+	// eventMu is held from a change of the session until the Handler was told of it, so that the Handler is told of all changes
+	// in order. It is locked before the mesh's lock.
+	eventMu sync.Mutex
+	// unackedSince is since when a message waits for its acknowledgement; zero if none does.
+	unackedSince time.Time
+	// repliedAt is when a batch of the peer was last answered; the answer has a heartbeat.
+	repliedAt time.Time
+	// interval is the time between heartbeats. It was last shortened at shortenedAt.
+	interval    time.Duration
+	shortenedAt time.Time
+	openOrders  bool
+	// failingSince is since when calls of the peer fail; suspectedAt is when another instance reported its loss. Both are void
+	// once the peer was heard afterwards.
+	failingSince, suspectedAt time.Time
+	// ackTimes estimates how long acknowledgements take.
+	ackTimes roundtrip.Estimate
 	wake     chan struct{}
 }
 
-func newPeer(name string, life int64, interval time.Duration) *peer {
-	return &peer{name: name, own: epoch{life: life}, interval: interval, wake: make(chan struct{}, 1)}
+func newPeer(name string, incarnation int64, interval time.Duration) *peer {
+	return &peer{name: name, ownEpoch: epoch{incarnation: incarnation}, interval: interval, wake: make(chan struct{}, 1)}
 }
 
-// id returns the peer's life; it is made once for each, as it is asked for with all peers at a time.
+// id returns the ID of the peer's incarnation. It is cached, as each change of the schedules asks for the IDs of all peers.
 func (per *peer) id() shard.InstanceID {
-	if per.madeFor != per.other.life || per.made == "" {
-		per.made, per.madeFor = ID(per.name, per.other.life), per.other.life
+	if per.cachedFor != per.peerEpoch.incarnation || per.cachedID == "" {
+		per.cachedID, per.cachedFor = ID(per.name, per.peerEpoch.incarnation), per.peerEpoch.incarnation
 	}
-	return per.made
+	return per.cachedID
 }
 
-// silent reports whether the peer has not been heard for too long. A pace that was just raised counts from
-// then on: the peer may not know of it yet.
-func (per *peer) silent(now time.Time, beats int) bool {
+// isSilent reports whether the peer was not heard for more than a number of heartbeat intervals. After the interval was shortened
+// the time counts from then on, as the peer may not know of it yet.
+func (per *peer) isSilent(now time.Time, missed int) bool {
 	since := per.heardAt
-	if per.pacedAt.After(since) {
-		since = per.pacedAt
+	if per.shortenedAt.After(since) {
+		since = per.shortenedAt
 	}
-	return per.up && now.Sub(since) > time.Duration(beats)*per.interval
+	return per.established && now.Sub(since) > time.Duration(missed)*per.interval
 }
 
-// unreachable reports whether calls of the peer have failed for longer than a patience, and it was not heard meanwhile: one that
-// is called seldom is missed long before its beats are.
-func (per *peer) unreachable(now time.Time, patience time.Duration) bool {
-	return per.up && per.unheardSince(per.failingSince) && now.Sub(per.failingSince) > patience
+// isUnreachable reports whether calls of the peer have failed for longer than timeout while it was not heard. It detects the loss
+// of a peer with a long interval well before isSilent does.
+func (per *peer) isUnreachable(now time.Time, timeout time.Duration) bool {
+	return per.established && per.unheardSince(per.failingSince) && now.Sub(per.failingSince) > timeout
 }
 
-// doubted reports whether another instance has missed the peer, and it was not heard here for a while after that.
-func (per *peer) doubted(now time.Time, patience time.Duration) bool {
-	return per.up && per.unheardSince(per.doubtedAt) && now.Sub(per.doubtedAt) > patience
+// isSuspected reports whether another instance reported the loss of the peer more than timeout ago, and the peer was not heard
+// since.
+func (per *peer) isSuspected(now time.Time, timeout time.Duration) bool {
+	return per.established && per.unheardSince(per.suspectedAt) && now.Sub(per.suspectedAt) > timeout
 }
 
 func (per *peer) unheardSince(since time.Time) bool { return per.heardAt.Before(since) }
 
-// stuck reports whether messages have been without a receipt for too long. The peer may be heard all the while, as it
-// reaches this instance, and wait for what can't reach it: reports of tasks that were done stayed away until their
-// callers' deadlines.
-func (per *peer) stuck(now time.Time, patience time.Duration) bool {
-	return per.up && !per.stuckSince.IsZero() && now.Sub(per.stuckSince) > patience
+// isUnacknowledged reports whether messages were not acknowledged for longer than timeout. The peer may be heard all the while,
+// if it reaches this instance but not the other way round, and would wait for messages that can't arrive: reports of ended tasks
+// did not arrive until the deadlines of their callers.
+func (per *peer) isUnacknowledged(now time.Time, timeout time.Duration) bool {
+	return per.established && !per.unackedSince.IsZero() && now.Sub(per.unackedSince) > timeout
 }
 
-// missing says why the peer is to be given up, if it is.
-func (per *peer) missing(now time.Time, cfg Config) Cause {
-	patience := time.Duration(cfg.MissedHeartbeats) * cfg.HeartbeatInterval
+// lossCause returns why the session with the peer has to end, or "" if it goes on.
+func (per *peer) lossCause(now time.Time, cfg Config) Cause {
+	timeout := time.Duration(cfg.MissedHeartbeats) * cfg.HeartbeatInterval
 	switch {
-	case per.silent(now, cfg.MissedHeartbeats):
+	case per.isSilent(now, cfg.MissedHeartbeats):
 		return Silent
-	case per.doubted(now, cfg.CallTimeout):
+	case per.isSuspected(now, cfg.CallTimeout):
 		return Suspected
-	case per.unreachable(now, patience):
+	case per.isUnreachable(now, timeout):
 		return Unreachable
-	case per.stuck(now, patience):
+	case per.isUnacknowledged(now, timeout):
 		return Unacknowledged
 	}
 	return ""
 }
 
-// waitsSince notes that something waits for its receipt; an earlier wait goes first.
-func (per *peer) waitsSince(now time.Time) {
-	if per.stuckSince.IsZero() {
-		per.stuckSince = now
+// startAckWait notes that a message waits for its acknowledgement; the time counts from the longest waiting one.
+func (per *peer) startAckWait(now time.Time) {
+	if per.unackedSince.IsZero() {
+		per.unackedSince = now
 	}
 }
 
-// lostInterval is the pause between calls of a peer that was given up: one that is back leads again, and is to be known.
+// lostInterval bounds the time between calls of a lost peer: a peer that is back leads shards again and must be known soon.
 const lostInterval = time.Second
 
-// reset gives the session up if one is up, and reports whose it was.
-func (per *peer) reset() (was shard.InstanceID, had bool) {
-	if !per.up {
+// end ends the session, if one is established, and returns the ID of the instance that it was with.
+func (per *peer) end() (former shard.InstanceID, had bool) {
+	if !per.established {
 		return "", false
 	}
-	was = per.id()
-	per.up = false
-	per.own.generation++
+	former = per.id()
+	per.established = false
+	per.ownEpoch.generation++
 	per.interval = min(per.interval, lostInterval)
 	per.clear()
-	return was, true
+	return former, true
 }
 
-// push puts a message into the next batch and returns the bytes of the payload that it adds there.
-func (per *peer) push(msg Message) int64 {
+// enqueue adds a message to the outbox and returns by how many bytes the payloads in it grow; equal payloads are sent once.
+func (per *peer) enqueue(msg Message) int64 {
 	var byt int64
-	if ord, ok := msg.(Order); ok && !per.carries(ord.Order.Payload) {
+	if ord, ok := msg.(Order); ok && !per.outboxHasPayload(ord.Order.Payload) {
 		byt = int64(len(ord.Order.Payload))
 	}
 	per.outbox = append(per.outbox, msg)
-	per.waitingBytes += byt
+	per.outboxBytes += byt
 	return byt
 }
 
-// carries reports whether an order of the next batch has a payload.
-func (per *peer) carries(payload string) bool {
+// outboxHasPayload reports whether an order in the outbox has this payload.
+func (per *peer) outboxHasPayload(payload string) bool {
 	return slices.ContainsFunc(per.outbox, func(msg Message) bool {
 		ord, ok := msg.(Order)
 		return ok && ord.Order.Payload == payload
@@ -184,80 +186,82 @@
 }
 
 func (per *peer) clear() {
-	per.sequence, per.inSequence = 0, 0
-	per.outbox, per.sending, per.counted = nil, nil, false
-	per.dropped += per.waitingBytes + per.sendingBytes
-	per.waitingBytes, per.sendingBytes = 0, 0
-	per.divisions, per.toldDivisions = nil, nil
-	per.stuckSince, per.failingSince, per.doubtedAt = time.Time{}, time.Time{}, time.Time{}
+	per.sentSequence, per.receivedSequence = 0, 0
+	per.outbox, per.inFlight, per.numbered = nil, nil, false
+	per.droppedBytes += per.outboxBytes + per.inFlightBytes
+	per.outboxBytes, per.inFlightBytes = 0, 0
+	per.divisions, per.ackedDivisions = nil, nil
+	per.unackedSince, per.failingSince, per.suspectedAt = time.Time{}, time.Time{}, time.Time{}
 }
 
-// delivered notes that the peer has taken what was sent.
-func (per *peer) delivered(now time.Time) (bytes int64) {
-	per.sending, per.counted, per.stuckSince = nil, false, time.Time{}
+// acknowledge notes that the peer accepted the batch in flight, and returns the bytes of its payloads.
+func (per *peer) acknowledge(now time.Time) (bytes int64) {
+	per.inFlight, per.numbered, per.unackedSince = nil, false, time.Time{}
 	if len(per.outbox) > 0 {
-		per.waitsSince(now)
+		per.startAckWait(now)
 	}
-	bytes, per.sendingBytes = per.sendingBytes, 0
+	bytes, per.inFlightBytes = per.inFlightBytes, 0
 	return bytes
 }
 
-// greeting is what one side says of a session: its own epoch, and the other's as it knows it.
+// greeting identifies the session that a batch or receipt belongs to: the sender's own epoch and the receiver's as the sender
+// knows it.
 type greeting struct{ from, to epoch }
 
-// greet takes a greeting in that came at a time. It reports whether the greeting belongs to the session that is up now, and
-// whose session ended by it, if any.
-func (per *peer) greet(now time.Time, grt greeting) (current bool, was shard.InstanceID, ended bool) {
-	if grt.from.before(per.other) {
+// handleGreeting updates the session from a greeting that was received at now. It reports whether the greeting belongs to the
+// session that is established now, and which instance's session ended by it, if one did.
+func (per *peer) handleGreeting(now time.Time, grt greeting) (current bool, former shard.InstanceID, ended bool) {
+	if grt.from.before(per.peerEpoch) {
 		return false, "", false
 	}
-	if per.other.before(grt.from) {
-		was, ended = per.reset()
-		if per.other.life != grt.from.life {
-			per.heardAge, per.beatAge = 0, 0
+	if per.peerEpoch.before(grt.from) {
+		former, ended = per.end()
+		if per.peerEpoch.incarnation != grt.from.incarnation {
+			per.peerAge, per.heartbeatAge = 0, 0
 		}
-		per.other = grt.from
+		per.peerEpoch = grt.from
 		per.clear()
 	}
-	if grt.to != per.own {
-		return false, was, ended
+	if grt.to != per.ownEpoch {
+		return false, former, ended
 	}
-	if !per.up {
-		per.up, per.heardAt = true, now
+	if !per.established {
+		per.established, per.heardAt = true, now
 	}
-	return true, was, ended
+	return true, former, ended
 }
 
-// isNext reports whether a batch of the current session is to be taken; a repeated one was, and its
-// receipt was lost.
-func (per *peer) isNext(sequence int64) bool {
-	if sequence != per.inSequence+1 {
+// accept reports whether a batch of the current session is the next one, and notes it as received. A batch that is sent again
+// because its receipt was lost is not accepted twice.
+func (per *peer) accept(sequence int64) bool {
+	if sequence != per.receivedSequence+1 {
 		return false
 	}
-	per.inSequence = sequence
+	per.receivedSequence = sequence
 	return true
 }
 
-// newest takes in a beat, and returns the newest one with what the peer has said before in this session. A batch and the receipt
-// of another one pass each other: an instance that had just taken a shard over seemed to lead it no more, and its orders
-// followed to the leader before it.
-func (per *peer) newest(bet Heartbeat, age time.Duration) Heartbeat {
-	if age > 0 && age < per.beatAge {
-		return per.beat
+// mergeHeartbeat returns the newest heartbeat of the peer, which may be an earlier one than the given, sent at a process age of
+// the peer. It adds the divisions that the peer left out as already sent. A batch and the receipt of another one may overtake
+// each other: an instance that had just taken a shard over seemed not to lead it any more, and its orders were reassigned to the
+// former leader.
+func (per *peer) mergeHeartbeat(hbt Heartbeat, age time.Duration) Heartbeat {
+	if age > 0 && age < per.heartbeatAge {
+		return per.heartbeat
 	}
-	if len(bet.Divisions) > 0 {
-		per.divisions = bet.Divisions
+	if len(hbt.Divisions) > 0 {
+		per.divisions = hbt.Divisions
 	}
-	bet.Divisions = per.divisions
-	per.beat, per.beatAge = bet, age
-	return bet
+	hbt.Divisions = per.divisions
+	per.heartbeat, per.heartbeatAge = hbt, age
+	return hbt
 }
 
-// news leaves out of a beat what the peer has had before in this session: without them, idle instances
-// send 24 KB a second to 15 others in place of 32.
-func (per *peer) news(bet Heartbeat) Heartbeat {
-	if per.up && maps.Equal(per.toldDivisions, bet.Divisions) {
-		bet.Divisions = nil
+// withoutKnown returns a heartbeat without the divisions that the peer has acknowledged in this session: with them idle instances
+// would send 32 KB a second to 15 others in place of 24.
+func (per *peer) withoutKnown(hbt Heartbeat) Heartbeat {
+	if per.established && maps.Equal(per.ackedDivisions, hbt.Divisions) {
+		hbt.Divisions = nil
 	}
-	return bet
+	return hbt
 }
--- /dev/null
+++ b/internal/connection/mesh/types.go
@@ -0,0 +1,136 @@
+package mesh
+
+import (
+	"time"
+
+	"chestnutstack/internal/request/shard"
+	"chestnutstack/internal/version/domainlist"
+)
+
+// Leadership says that an instance leads a shard, and how loaded the shard is.
+type Leadership struct {
+	Shard shard.Name
+	Token int64
+	Load  shard.Load
+}
+
+// Heartbeat is the state that an instance sends of itself with each batch and receipt.
+type Heartbeat struct {
+	Domain string
+	// Processor is the processor time that the instance may use, in cores.
+	Processor float64
+	// Ready instances may take over shards; Leaving ones hand theirs over.
+	Ready, Leaving bool
+	// ConfigVersion is the newest configuration that the instance has.
+	ConfigVersion int64
+	// TokenRound is the highest round of fencing tokens that the instance has seen.
+	TokenRound  int64
+	Leaderships []Leadership
+	// Divisions is, by failure domain, into how many shards its backend servers are divided, as far as the instance knows.
+	Divisions map[string]shard.Division
+	// ClosedDomains is what the instance knows of closed failure domains.
+	ClosedDomains domainlist.View
+	// CompleteUpTo is the offset in the list of backend servers up to which the instance knows all servers that may be running,
+	// each with an entry; 0 if it isn't sure of that.
+	CompleteUpTo int64
+}
+
+// Message is sent from one instance to another: Order, Cancellation, Report, Configuration or LossNotice.
+type Message interface{ message() }
+
+// Order asks the leader of a shard to run a task.
+type Order struct {
+	Shard shard.Name
+	// Token is the fencing token of the leader for which the order is meant.
+	Token int64
+	Order shard.Order
+}
+
+// Cancellation ends an order that was sent to the leader of a shard.
+type Cancellation struct {
+	Shard shard.Name
+	Token int64
+	Task  string
+}
+
+// Report tells the owner of an order what became of it.
+type Report struct{ Report shard.Report }
+
+// Configuration passes on the record of a configuration, as the platform publishes it.
+type Configuration struct{ Data []byte }
+
+// LossNotice says that the sender has lost an instance.
+type LossNotice struct{ Instance shard.InstanceID }
+
+func (LossNotice) message()    {}
+func (Order) message()         {}
+func (Cancellation) message()  {}
+func (Report) message()        {}
+func (Configuration) message() {}
+
+// Handler handles what arrives from other instances. Its methods are called one at a time for each instance.
+type Handler interface {
+	// Heartbeat returns the current heartbeat of this instance.
+	Heartbeat() Heartbeat
+	// HandleBatch handles the newest heartbeat of an instance and the messages of a batch, in order; there are none with a
+	// receipt. The sender was alive at the time at, by this instance's clock.
+	HandleBatch(from shard.InstanceID, at time.Time, beat Heartbeat, msgs []Message)
+	// HandleStaleBatch is called when a batch with messages was rejected, as it was sent too long ago. The sender sends it again
+	// unless it has ended the session meanwhile.
+	HandleStaleBatch(from shard.InstanceID, age time.Duration, messages int)
+	// HandleInstanceLost is called when the session with an instance has ended; no message of that session follows.
+	HandleInstanceLost(id shard.InstanceID, cause Cause)
+}
+
+// Cause says why a session has ended.
+type Cause string
+
+// The causes of a session's end.
+const (
+	// Silent peers were not heard for MissedHeartbeats intervals.
+	Silent Cause = "not heard"
+	// Suspected peers were lost by another instance and did not answer this one.
+	Suspected Cause = "missed by another and no answer"
+	// Unreachable peers did not answer any of several calls in a row; it is found well before a long heartbeat interval is over.
+	Unreachable Cause = "no answer"
+	// Unacknowledged peers are heard but acknowledge no messages.
+	Unacknowledged Cause = "no receipt"
+	// Refused peers have no process that listens at their address.
+	Refused Cause = "connection refused"
+	// Reset sessions were ended by the peer, which has lost this instance or was restarted.
+	Reset Cause = "ended by the peer"
+)
+
+// IsSilence reports whether the cause is only that the peer wasn't heard, which doesn't prove that its process has ended.
+func (cau Cause) IsSilence() bool { return cau == Silent || cau == Unreachable || cau == Suspected }
+
+// Peer is another instance, as the platform's store lists it.
+type Peer struct {
+	Name, Address string
+}
+
+// Schedule says how often two instances exchange heartbeats.
+type Schedule struct {
+	// Intervals is the time between heartbeats, in units of Config.HeartbeatInterval.
+	Intervals int
+	// OpenOrders says that one of the two has open orders of the other, so that a loss must be detected in time even by a process
+	// that is short of processor.
+	OpenOrders bool
+}
+
+// Config holds the parameters of a Mesh.
+type Config struct {
+	Name        string
+	Incarnation int64
+	// Address is where the other instances reach this one.
+	Address string
+	// HeartbeatInterval is the shortest time between heartbeats, used with instances that depend on each other. A peer is lost
+	// after MissedHeartbeats of its intervals without a message from it.
+	HeartbeatInterval time.Duration
+	MissedHeartbeats  int
+	// CallTimeout is the least time to wait for the receipt of a batch. Afterwards the batch is sent on a new connection, as an
+	// open one may never deliver anything again.
+	CallTimeout time.Duration
+	// Now is the clock of the process.
+	Now func() time.Time
+}
--- a/internal/connection/mesh/wire.go
+++ b/internal/connection/mesh/wire.go
@@ -9,23 +9,23 @@
 	"chestnutstack/internal/version/domainlist"
 )
 
-// The parameters and the result of a call are one string each, the base64 of a protobuf message: jsonrpc2 decodes
-// every message several times over, and as JSON fields the batches took over half of the processor time of a system of
-// 39 instances (2,205 us a task of 850 jobs a second, BenchmarkGrownSystem in process/daemon; 1,709 us in this form).
+// The parameters and the result of a call are one string each, the base64 of a protobuf message. jsonrpc2 decodes every message
+// several times: batches made of JSON fields took over half of the processor time of a system of 39 instances, 2,205 us for a
+// task at 850 jobs a second in place of 1,709 us.
 const methodDeliver = "deliver"
 
-// maxMessage bounds a batch; the largest are configurations of a few hundred routes, some 100 KB.
+// maxMessage bounds a batch, in bytes; the largest batches carry configurations of a few hundred routes, some 100 KB.
 const maxMessage = 16 << 20
 
 func (epo epoch) encode() *meshpb.Epoch {
-	return &meshpb.Epoch{Life: epo.life, Generation: epo.generation}
+	return &meshpb.Epoch{Life: epo.incarnation, Generation: epo.generation}
 }
 
 func decodeEpoch(msg *meshpb.Epoch) epoch {
-	return epoch{life: msg.GetLife(), generation: msg.GetGeneration()}
+	return epoch{incarnation: msg.GetLife(), generation: msg.GetGeneration()}
 }
 
-// greetingOf reads the greeting of a batch or of its receipt.
+// greetingOf returns the greeting in a batch or receipt.
 func greetingOf(msg interface {
 	GetOwn() *meshpb.Epoch
 	GetOther() *meshpb.Epoch
@@ -34,40 +34,40 @@
 	return greeting{from: decodeEpoch(msg.GetOwn()), to: decodeEpoch(msg.GetOther())}
 }
 
-func encodeBeat(bet Heartbeat) *meshpb.Beat {
+func encodeHeartbeat(hbt Heartbeat) *meshpb.Beat {
 	msg := &meshpb.Beat{
-		Domain: bet.Domain, Processor: int64(bet.Processor * milli), Ready: bet.Ready, Leaving: bet.Leaving,
-		Version: bet.ConfigVersion, Round: bet.TokenRound, ListedTo: bet.CompleteUpTo,
+		Domain: hbt.Domain, Processor: int64(hbt.Processor * milli), Ready: hbt.Ready, Leaving: hbt.Leaving,
+		Version: hbt.ConfigVersion, Round: hbt.TokenRound, ListedTo: hbt.CompleteUpTo,
 	}
-	for dom, dvn := range bet.Divisions {
+	for dom, dvn := range hbt.Divisions {
 		msg.Divisions = append(msg.Divisions, &meshpb.Division{Domain: dom, Count: int64(dvn.Count), Stamp: dvn.Stamp})
 	}
-	for _, led := range bet.Leaderships {
+	for _, led := range hbt.Leaderships {
 		msg.Leads = append(msg.Leads, &meshpb.Lead{
 			Shard: string(led.Shard), Token: led.Token,
 			Number: led.Load.Number, Free: led.Load.Free, Turnover: led.Load.Turnover, WaitsMicros: encodeWaits(led.Load.Waits),
 			LinkWindow: led.Load.LinkWindow, LinkBusy: led.Load.LinkBusy, Closed: led.Load.Closed,
 		})
 	}
-	if bet.ClosedDomains.End != domainlist.Unread {
-		msg.ClosedDomains = &meshpb.ClosedDomains{End: bet.ClosedDomains.End, Names: bet.ClosedDomains.Closed}
+	if hbt.ClosedDomains.End != domainlist.Unread {
+		msg.ClosedDomains = &meshpb.ClosedDomains{End: hbt.ClosedDomains.End, Names: hbt.ClosedDomains.Closed}
 	}
 	return msg
 }
 
-func decodeBeat(msg *meshpb.Beat) Heartbeat {
-	bet := Heartbeat{
+func decodeHeartbeat(msg *meshpb.Beat) Heartbeat {
+	hbt := Heartbeat{
 		Domain: msg.GetDomain(), Processor: float64(msg.GetProcessor()) / milli, Ready: msg.GetReady(),
 		Leaving: msg.GetLeaving(), ConfigVersion: msg.GetVersion(), TokenRound: msg.GetRound(),
-		Divisions: make(map[string]shard.Division, len(msg.GetDivisions())),
-		ClosedDomains:   domainlist.View{End: domainlist.Unread}, CompleteUpTo: msg.GetListedTo(),
+		Divisions:     make(map[string]shard.Division, len(msg.GetDivisions())),
+		ClosedDomains: domainlist.View{End: domainlist.Unread}, CompleteUpTo: msg.GetListedTo(),
 	}
 	if cld := msg.GetClosedDomains(); cld != nil {
-		bet.ClosedDomains = domainlist.View{End: cld.GetEnd(), Closed: cld.GetNames()}
+		hbt.ClosedDomains = domainlist.View{End: cld.GetEnd(), Closed: cld.GetNames()}
 	}
 	for _, dvn := range msg.GetDivisions() {
 		if dvn.GetCount() > 0 {
-			bet.Divisions[dvn.GetDomain()] = shard.Division{Count: int(dvn.GetCount()), Stamp: dvn.GetStamp()}
+			hbt.Divisions[dvn.GetDomain()] = shard.Division{Count: int(dvn.GetCount()), Stamp: dvn.GetStamp()}
 		}
 	}
 	for _, led := range msg.GetLeads() {
@@ -78,9 +78,9 @@
 		for rnk, num := range led.GetWaitsMicros()[:min(len(led.GetWaitsMicros()), shard.Ranks)] {
 			lod.Waits[rnk] = micros(num)
 		}
-		bet.Leaderships = append(bet.Leaderships, Leadership{Shard: shard.Name(led.GetShard()), Token: led.GetToken(), Load: lod})
+		hbt.Leaderships = append(hbt.Leaderships, Leadership{Shard: shard.Name(led.GetShard()), Token: led.GetToken(), Load: lod})
 	}
-	return bet
+	return hbt
 }
 
 func encodeWaits(wts [shard.Ranks]time.Duration) []int64 {
@@ -91,8 +91,8 @@
 	return nums
 }
 
-// add puts a message into a batch.
-func add(dlv *meshpb.Delivery, now time.Time, msg Message) {
+// appendMessage adds a message to a batch.
+func appendMessage(dlv *meshpb.Delivery, now time.Time, msg Message) {
 	switch msg := msg.(type) {
 	case Order:
 		dlv.Messages = append(dlv.Messages, &meshpb.Message{Body: &meshpb.Message_Order{Order: encodeOrder(dlv, now, msg)}})
@@ -106,9 +106,9 @@
 			TookMicros: msg.Report.Took.Microseconds(), Server: string(msg.Report.Server), MayHaveRun: msg.Report.MayHaveRun, Hopeless: msg.Report.Hopeless,
 		}}})
 	case LossNotice:
-		name, life := splitID(msg.Instance)
+		name, incarnation := splitID(msg.Instance)
 		dlv.Messages = append(dlv.Messages, &meshpb.Message{Body: &meshpb.Message_Missed{Missed: &meshpb.Missed{
-			Name: name, Life: life,
+			Name: name, Life: incarnation,
 		}}})
 	case Configuration:
 		dlv.Messages = append(dlv.Messages, &meshpb.Message{Body: &meshpb.Message_Configuration{Configuration: msg.Data}})
@@ -138,7 +138,7 @@
 	return wir
 }
 
-// decodeMessages returns the messages of a batch, without those of a kind that this version does not know.
+// decodeMessages returns the messages of a batch, except those of kinds that this version does not know.
 func decodeMessages(dlv *meshpb.Delivery, now time.Time, from shard.InstanceID) []Message {
 	msgs := make([]Message, 0, len(dlv.GetMessages()))
 	for _, wir := range dlv.GetMessages() {
@@ -146,7 +146,7 @@
 		case *meshpb.Message_Order:
 			ord := bdy.Order
 			if int(ord.GetPayload()) >= len(dlv.GetPayloads()) {
-				continue // No instance sends that; its task would run something else.
+				continue // No instance sends an index beyond the payloads; the task would run with a wrong payload.
 			}
 			msgs = append(msgs, Order{
 				Shard: shard.Name(ord.GetShard()), Token: ord.GetToken(),
--- a/internal/connection/rpc/codec.go
+++ b/internal/connection/rpc/codec.go
@@ -18,22 +18,22 @@
 	lengthBits      = 7
 )
 
-// ErrTooLarge says that a message is larger than both ends allow.
+// ErrTooLarge is returned for a message that exceeds the size limit.
 var ErrTooLarge = errors.New("peer message too large")
 
-// NewConn speaks jsonrpc2 over a connection, with a bound on the bytes of one message.
+// NewConn returns a jsonrpc2 connection over con whose messages have at most maxMessage bytes each.
 func NewConn(ctx context.Context, con net.Conn, maxMessage int, hdl jsonrpc2.Handler) *jsonrpc2.Conn {
 	stm := jsonrpc2.NewBufferedStream(con, BoundedCodec{Max: maxMessage})
-	return jsonrpc2.NewConn(ctx, stm, hdl, jsonrpc2.SetLogger(quiet{}))
+	return jsonrpc2.NewConn(ctx, stm, hdl, jsonrpc2.SetLogger(silentLogger{}))
 }
 
-// quiet drops the library's log lines: every failure reaches a caller as an error.
-type quiet struct{}
+// silentLogger discards the log lines of jsonrpc2: every failure is returned to a caller as an error.
+type silentLogger struct{}
 
 // Printf implements jsonrpc2.Logger.
-func (quiet) Printf(string, ...any) {}
+func (silentLogger) Printf(string, ...any) {}
 
-// RefuseAll answers requests that arrive at a calling end, which takes none.
+// RefuseAll rejects requests that arrive at the calling end of a connection, which handles none.
 type RefuseAll struct{}
 
 // Handle implements jsonrpc2.Handler.
@@ -41,24 +41,23 @@
 	if req.Notif {
 		return
 	}
-	rpc := &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this end takes no calls"}
-	_ = con.ReplyWithError(ctx, req.ID, rpc) // The connection is gone; there is nobody to tell.
+	rpc := &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this end of the connection handles no requests"}
+	_ = con.ReplyWithError(ctx, req.ID, rpc) // An error means that the connection is closed, and no one is left to tell.
 }
 
-// BoundedCodec is the library's varint framing (jsonrpc2.VarintObjectCodec) with a bound on the size of a message, so that a
-// broken peer can't make this process hold gigabytes: the library itself reads whatever length the
-// frame announces.
+// BoundedCodec is the varint framing of jsonrpc2.VarintObjectCodec with a bound on the size of a message. jsonrpc2 itself reads
+// whatever length a frame announces, so a broken peer could make this process allocate gigabytes.
 type BoundedCodec struct {
-	// Max is the bound in bytes.
+	// Max is the largest size of a message in bytes.
 	Max int
 }
 
-// WriteObject implements jsonrpc2.ObjectCodec. The library's messages encode themselves: asked for directly, a
-// message is written down once less than by json.Marshal, which checks and copies what they return.
+// WriteObject implements jsonrpc2.ObjectCodec. It calls MarshalJSON directly: json.Marshal would check and copy the result once
+// more.
 func (cdc BoundedCodec) WriteObject(stream io.Writer, obj any) error {
 	msh, ok := obj.(json.Marshaler)
 	if !ok {
-		return errors.Newf("message of type %T", obj)
+		return errors.Newf("can't encode message of type %T", obj)
 	}
 	data, err := msh.MarshalJSON()
 	if err != nil {
@@ -72,7 +71,7 @@
 	return err
 }
 
-// ReadObject implements jsonrpc2.ObjectCodec. As with WriteObject, one pass over the message is saved.
+// ReadObject implements jsonrpc2.ObjectCodec. It calls UnmarshalJSON directly, which saves one pass over the message.
 func (cdc BoundedCodec) ReadObject(stream *bufio.Reader, obj any) error {
 	length, err := PeekLength(stream)
 	if err != nil {
@@ -83,7 +82,7 @@
 	}
 	uns, ok := obj.(json.Unmarshaler)
 	if !ok {
-		return errors.Newf("message of type %T", obj)
+		return errors.Newf("can't decode message of type %T", obj)
 	}
 	if _, err := binary.ReadUvarint(stream); err != nil {
 		return err
@@ -95,8 +94,8 @@
 	return uns.UnmarshalJSON(data)
 }
 
-// PeekLength returns the length that the next frame announces and consumes nothing. It asks for one
-// byte more at a time: a short message may be all that the peer sends for a long while.
+// PeekLength returns the length in bytes that the next frame announces, and consumes nothing. It asks for one more byte at a
+// time: a short message may be all that the peer sends for a long while.
 func PeekLength(stream *bufio.Reader) (int, error) {
 	length := 0
 	for cnt := 1; cnt <= maxLengthBytes; cnt++ {
@@ -110,5 +109,5 @@
 			return length, nil
 		}
 	}
-	return 0, errors.Wrap(ErrTooLarge, "length of more than five bytes")
+	return 0, errors.Wrap(ErrTooLarge, "frame length of more than five bytes")
 }
--- a/internal/connection/rpc/conn.go
+++ b/internal/connection/rpc/conn.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Stats are counters of one end of the transport since its start.
+// Stats are the counters of one end of the transport since its start.
 type Stats struct {
 	BytesIn  uint64
 	BytesOut uint64
 	Calls    uint64
 }
 
-// Counters count what passes one end of the transport; they are safe for concurrent use.
+// Counters counts the bytes and calls of one end of the transport. It is safe for concurrent use.
 type Counters struct {
 	in    atomic.Uint64
 	out   atomic.Uint64
 	calls atomic.Uint64
 }
 
-// CountCall counts a call.
+// CountCall counts one call.
 func (cnt *Counters) CountCall() { cnt.calls.Add(1) }
 
 // Stats returns the bytes and calls so far.
@@ -28,11 +28,11 @@
 	return Stats{BytesIn: cnt.in.Load(), BytesOut: cnt.out.Load(), Calls: cnt.calls.Load()}
 }
 
-// Conn counts bytes and notes when the peer was last heard.
+// Conn is a connection that counts its bytes and notes when the peer last sent any.
 //
-// Each write has a deadline: a peer that reads no more fills the socket's buffer, and the library
-// then holds its send lock for good, so that every later call on the connection would wait past its
-// own timeout. After the deadline the write fails and the connection is closed.
+// Each write has a deadline: a peer that no longer reads lets the socket's buffer fill up, and jsonrpc2 then holds its send lock
+// for good, so that every later call on the connection would wait beyond its own timeout. After the deadline the write fails and
+// the connection is closed.
 type Conn struct {
 	net.Conn
 	cnt          *Counters
@@ -41,7 +41,7 @@
 	lastRead     atomic.Int64
 }
 
-// WrapConn returns a connection that counts, and bounds the time of each write unless the bound is 0.
+// WrapConn returns a connection that counts its bytes in cnt and bounds the time of each write; 0 sets no bound.
 func WrapConn(con net.Conn, cnt *Counters, writeTimeout time.Duration) *Conn {
 	return &Conn{Conn: con, cnt: cnt, writeTimeout: writeTimeout, start: time.Now()}
 }
@@ -66,7 +66,7 @@
 	num, err := wcn.Conn.Write(buf)
 	wcn.cnt.out.Add(uint64(num))
 	if err != nil {
-		_ = wcn.Close() // The write's error is the one that counts.
+		_ = wcn.Close() // Only the error of the write is returned.
 	}
 	return num, err
 }
--- a/internal/connection/rpc/doc.go
+++ b/internal/connection/rpc/doc.go
@@ -1,3 +1,3 @@
-// Package rpc has what all jsonrpc2 connections between entry instances share: a bound on the size of
-// messages, a deadline on each write, and counters.
+// Package rpc holds what all jsonrpc2 connections between instances share: a bound on the size of messages, a deadline for each
+// write, and counters.
 package rpc
