--- a/internal/connection/mesh/age.go
+++ b/internal/connection/mesh/age.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// noteHeard notes that the peer was alive at a time. A message that arrived late doesn't prove that the peer was alive later than
-// that.
+// noteHeard notes a message of the peer that was sent after a time. A fresh one counts as heard now; one that was long under way
+// proves only that the peer was alive when it was sent.
 func (msh *Mesh) noteHeard(per *peer, now, sent time.Time) {
 	if msh.isFresh(now, sent) {
 		sent = now
--- a/internal/connection/mesh/mesh.go
+++ b/internal/connection/mesh/mesh.go
@@ -88,6 +88,7 @@
 	return per
 }
 
+// signal makes runPeer send a batch at once; it never blocks.
 func signal(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
@@ -184,8 +185,8 @@
 		now := msh.cfg.Now()
 		paused := now.Sub(checked) > msh.cfg.HeartbeatInterval
 		if paused {
-			// This process was paused: what the others sent meanwhile is unread in the sockets, and they would look silent. While
-			// orders are open with a peer, its loss must be detected even by a process that is short of processor all the time;
+			// This process was paused: what the others sent meanwhile is unread in the sockets, and they would look silent. The
+			// sleep lets it be read. While orders are open with a peer, its loss must be detected even by a process that is short of processor all the time;
 			// for the other peers the next check decides.
 			time.Sleep(SocketReadTime)
 			now = msh.cfg.Now()
@@ -226,10 +227,10 @@
 	per.eventMu.Lock()
 	defer per.eventMu.Unlock()
 	msh.mu.Lock()
-	former, had := per.end()
+	former, ended := per.end()
 	msh.discountDropped(per)
 	msh.mu.Unlock()
-	if had {
+	if ended {
 		msh.hdl.HandleInstanceLost(former, cau)
 	}
 }
--- a/internal/connection/mesh/mesh_test.go
+++ b/internal/connection/mesh/mesh_test.go
@@ -234,10 +234,9 @@
 	})
 }
 
-func TestPausedProcessDetectsLostPeer(t *testing.T) {
-	// Every check for losses comes late, as the process is short of processor. It must detect a lost peer all the same while
-	// orders are open, as their tasks are sent elsewhere; else it mustn't: a slow machine that had just started took shards from
-	// live leaders.
+func TestStarvedProcessDetectsLostPeer(t *testing.T) {
+	// All checks for losses come late in a process short of processor. With open orders it must detect a loss, as their tasks are
+	// sent elsewhere; without it mustn't: a slow machine that had just started took shards from live leaders.
 	for openOrders, want := range map[bool]int{true: 1, false: 0} {
 		inPair(t, func(ntw *pipe.Network, one, _ *node) {
 			chk := is.New(t)
--- a/internal/connection/mesh/send.go
+++ b/internal/connection/mesh/send.go
@@ -92,6 +92,7 @@
 // retryDelay is the time between calls of a peer with an established session that can't be reached.
 const retryDelay = 10 * time.Millisecond
 
+// disconnected returns a channel that is closed once the connection ends; nil without a connection.
 func (ccn *callConn) disconnected() <-chan struct{} {
 	if ccn.cnn == nil {
 		return nil
@@ -128,11 +129,11 @@
 	err = ccn.cnn.Call(ctx, methodDeliver, data, &ans)
 	msh.noteAckTime(per, msh.cfg.Now().Sub(began))
 	if err != nil {
-		return errors.Wrap(err, "deliver batch")
+		return errors.Wrap(err, "deliver")
 	}
 	rcp := &meshpb.Receipt{}
 	if err := proto.Unmarshal(ans, rcp); err != nil {
-		return errors.Wrap(err, "decode receipt")
+		return errors.Wrap(err, "receipt")
 	}
 	msh.handleReceipt(per, began, dlv, rcp)
 	return nil
@@ -147,6 +148,7 @@
 	return per.ackTimes.Patience(msh.cfg.CallTimeout, time.Duration(msh.cfg.MissedHeartbeats)*msh.cfg.HeartbeatInterval)
 }
 
+// noteAckTime notes how long a receipt took, or was waited for in vain.
 func (msh *Mesh) noteAckTime(per *peer, dur time.Duration) {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
@@ -184,6 +186,7 @@
 	return dlv, per.address
 }
 
+// connect dials the peer unless the connection is open and leads to its address.
 func (msh *Mesh) connect(ctx context.Context, ccn *callConn, address string) error {
 	if ccn.cnn != nil && ccn.address == address {
 		select {
@@ -227,7 +230,7 @@
 	hbt := decodeHeartbeat(rcp.GetBeat())
 	if current && rcp.GetBeat() != nil {
 		hbt = per.mergeHeartbeat(hbt, agesOf(rcp).own)
-		// A receipt without a heartbeat means that the peer did not know the session yet and ignored the heartbeat of the batch.
+		// A receipt without a heartbeat comes from a peer that did not know the session yet and ignored the heartbeat of the batch.
 		if dvs := decodeHeartbeat(dlv.GetBeat()).Divisions; len(dvs) > 0 {
 			per.ackedDivisions = dvs
 		}
--- a/internal/connection/mesh/serve.go
+++ b/internal/connection/mesh/serve.go
@@ -43,6 +43,7 @@
 	return grp.Wait()
 }
 
+// serveConn handles the batches of one connection until it is closed or ctx is done.
 func (msh *Mesh) serveConn(ctx context.Context, raw net.Conn) {
 	con := rpc.WrapConn(raw, &msh.cnt, msh.cfg.CallTimeout)
 	cnn := rpc.NewConn(ctx, con, maxMessage, deliveryHandler{msh: msh})
@@ -76,11 +77,11 @@
 	}
 	var data []byte
 	if err := json.Unmarshal(*req.Params, &data); err != nil {
-		return nil, errors.Wrap(err, "decode delivery")
+		return nil, errors.Wrap(err, "delivery")
 	}
 	dlv := &meshpb.Delivery{}
 	if err := proto.Unmarshal(data, dlv); err != nil {
-		return nil, errors.Wrap(err, "decode delivery")
+		return nil, errors.Wrap(err, "delivery")
 	}
 	if dlv.GetFrom() == "" {
 		return nil, errors.New("delivery without a sender")
--- a/internal/connection/mesh/session.go
+++ b/internal/connection/mesh/session.go
@@ -23,7 +23,7 @@
 	if idx < 0 {
 		return string(id), 0
 	}
-	incarnation, _ = strconv.ParseInt(string(id[idx+1:]), 10, 64) // IDs made by ID always parse; any other gives incarnation 0, which no instance has.
+	incarnation, _ = strconv.ParseInt(string(id[idx+1:]), 10, 64) // IDs that ID returned always parse; no instance has another.
 	return string(id[:idx]), incarnation
 }
 
@@ -31,6 +31,7 @@
 // side that it has ended in that incarnation.
 type epoch struct{ incarnation, generation int64 }
 
+// before reports whether the epoch is older than another one of the same side.
 func (epo epoch) before(oth epoch) bool {
 	return epo.incarnation < oth.incarnation || epo.incarnation == oth.incarnation && epo.generation < oth.generation
 }
@@ -49,7 +50,8 @@
 	established bool
 	// sentSequence is the number of the last batch that was sent in the session, receivedSequence that of the last one accepted.
 	sentSequence, receivedSequence int64
-	outbox                         []Message
+	// outbox has the messages that wait for the next batch.
+	outbox []Message
 	// inFlight are the messages of the batch that was not acknowledged yet. It is numbered once it got its sequence number.
 	inFlight []Message
 	numbered bool
@@ -81,7 +83,8 @@
 	failingSince, suspectedAt time.Time
 	// ackTimes estimates how long acknowledgements take.
 	ackTimes roundtrip.Estimate
-	wake     chan struct{}
+	// wake makes runPeer send a batch at once.
+	wake chan struct{}
 }
 
 func newPeer(name string, incarnation int64, interval time.Duration) *peer {
@@ -154,7 +157,7 @@
 const lostInterval = time.Second
 
 // end ends the session, if one is established, and returns the ID of the instance that it was with.
-func (per *peer) end() (former shard.InstanceID, had bool) {
+func (per *peer) end() (former shard.InstanceID, ended bool) {
 	if !per.established {
 		return "", false
 	}
@@ -185,6 +188,7 @@
 	})
 }
 
+// clear drops the messages and the state of a session; the payload bytes are added to droppedBytes.
 func (per *peer) clear() {
 	per.sentSequence, per.receivedSequence = 0, 0
 	per.outbox, per.inFlight, per.numbered = nil, nil, false
@@ -241,9 +245,9 @@
 	return true
 }
 
-// mergeHeartbeat returns the newest heartbeat of the peer, which may be an earlier one than the given, sent at a process age of
-// the peer. It adds the divisions that the peer left out as already sent. A batch and the receipt of another one may overtake
-// each other: an instance that had just taken a shard over seemed not to lead it any more, and its orders were reassigned to the
+// mergeHeartbeat returns the newest heartbeat of the peer: hbt, which was sent at the process age age, or one received before that
+// was sent later. It adds the divisions that the peer left out as already sent. A batch and the receipt of another one may
+// overtake each other: an instance that had just taken a shard over seemed not to lead it any more, and its orders were reassigned to the
 // former leader.
 func (per *peer) mergeHeartbeat(hbt Heartbeat, age time.Duration) Heartbeat {
 	if age > 0 && age < per.heartbeatAge {
--- a/internal/connection/mesh/types.go
+++ b/internal/connection/mesh/types.go
@@ -74,7 +74,7 @@
 	Heartbeat() Heartbeat
 	// HandleBatch handles the newest heartbeat of an instance and the messages of a batch, in order; there are none with a
 	// receipt. The sender was alive at the time at, by this instance's clock.
-	HandleBatch(from shard.InstanceID, at time.Time, beat Heartbeat, msgs []Message)
+	HandleBatch(from shard.InstanceID, at time.Time, hbt Heartbeat, msgs []Message)
 	// HandleStaleBatch is called when a batch with messages was rejected, as it was sent too long ago. The sender sends it again
 	// unless it has ended the session meanwhile.
 	HandleStaleBatch(from shard.InstanceID, age time.Duration, messages int)
@@ -91,7 +91,7 @@
 	Silent Cause = "not heard"
 	// Suspected peers were lost by another instance and did not answer this one.
 	Suspected Cause = "missed by another and no answer"
-	// Unreachable peers did not answer any of several calls in a row; it is found well before a long heartbeat interval is over.
+	// Unreachable peers did not answer any of several calls in a row; such a loss is found well before a long heartbeat interval is over.
 	Unreachable Cause = "no answer"
 	// Unacknowledged peers are heard but acknowledge no messages.
 	Unacknowledged Cause = "no receipt"
@@ -128,8 +128,8 @@
 	// after MissedHeartbeats of its intervals without a message from it.
 	HeartbeatInterval time.Duration
 	MissedHeartbeats  int
-	// CallTimeout is the least time to wait for the receipt of a batch. Afterwards the batch is sent on a new connection, as an
-	// open one may never deliver anything again.
+	// CallTimeout is the least time to wait for the receipt of a batch, and the most for each write. Afterwards the batch is sent
+	// on a new connection, as an open one may never deliver anything again.
 	CallTimeout time.Duration
 	// Now is the clock of the process.
 	Now func() time.Time
--- a/internal/connection/rpc/codec.go
+++ b/internal/connection/rpc/codec.go
@@ -18,7 +18,7 @@
 	lengthBits      = 7
 )
 
-// ErrTooLarge is returned for a message that exceeds the size limit.
+// ErrTooLarge is returned for a message that exceeds the bound on its size, to be written or read.
 var ErrTooLarge = errors.New("peer message too large")
 
 // NewConn returns a jsonrpc2 connection over con whose messages have at most maxMessage bytes each.
