--- a/internal/connection/mesh/mesh.go
+++ b/internal/connection/mesh/mesh.go
@@ -24,7 +24,7 @@
 	cnt  rpc.Counters
 	// startedAt is when New was called; the process age that batches carry counts from it.
 	startedAt time.Time
-	// unackedPayload counts the bytes of payloads in batches that were not acknowledged yet.
+	// unackedPayload counts the bytes of payloads in messages that wait to be sent or were not acknowledged yet.
 	unackedPayload atomic.Int64
 
 	// mu guards peers, group and ctx; it is not held during calls of the Handler, which may call Send.
@@ -186,8 +186,8 @@
 		paused := now.Sub(checked) > msh.cfg.HeartbeatInterval
 		if paused {
 			// This process was paused: what the others sent meanwhile is unread in the sockets, and they would look silent. The
-			// sleep lets it be read. While orders are open with a peer, its loss must be detected even by a process that is short of processor all the time;
-			// for the other peers the next check decides.
+			// sleep lets it be read. While orders are open with a peer, its loss must be detected even by a process that is short
+			// of processor all the time; for the other peers the next check decides.
 			time.Sleep(SocketReadTime)
 			now = msh.cfg.Now()
 		}
--- a/internal/connection/mesh/session.go
+++ b/internal/connection/mesh/session.go
@@ -247,8 +247,8 @@
 
 // mergeHeartbeat returns the newest heartbeat of the peer: hbt, which was sent at the process age age, or one received before that
 // was sent later. It adds the divisions that the peer left out as already sent. A batch and the receipt of another one may
-// overtake each other: an instance that had just taken a shard over seemed not to lead it any more, and its orders were reassigned to the
-// former leader.
+// overtake each other: an instance that had just taken a shard over seemed not to lead it any more, and its orders were
+// reassigned to the former leader.
 func (per *peer) mergeHeartbeat(hbt Heartbeat, age time.Duration) Heartbeat {
 	if age > 0 && age < per.heartbeatAge {
 		return per.heartbeat
