--- a/internal/request/shard/action.go
+++ b/internal/request/shard/action.go
@@ -8,7 +8,7 @@
 // Action is a side effect that the caller carries out for a Leader: StartRun, StopRun, Renew, QuarantineServer or SendReport.
 type Action interface{ action() }
 
-// StartRun asks a backend server to start a run; its result goes to Leader.HandleStartResult.
+// StartRun asks a backend server to start a run; its result goes to Uplink.HandleStartResult, then to Leader.HandleStartResult.
 type StartRun struct {
 	Server  ServerEntry
 	Run     RunID
@@ -91,8 +91,8 @@
 // clockSkew is how many times slower than true time a backend server's clock may run (2%, from the platform's documentation).
 const clockSkew = 1.02
 
-// DefaultConfig returns durations that keep the chain of leases under 1.3 s, after which a caller that lost its connection submits its
-// job again (docs/notes/platform.md has the sum).
+// DefaultConfig returns durations with which all runs of a lost leader or owner are over within 1.3 s of the loss; after that time a caller
+// that lost its connection submits its job again (docs/notes/platform.md has the sum).
 func DefaultConfig() Config {
 	return Config{
 		Lease:             600 * time.Millisecond,
@@ -111,8 +111,8 @@
 
 // Expiry returns the time from sending a lease's last extension until the lease has ended by any clock and its runs are over.
 func (cfg Config) Expiry() time.Duration {
-	return time.Duration(float64(cfg.Lease)*clockSkew) + lapseMargin
+	return time.Duration(float64(cfg.Lease)*clockSkew) + expiryMargin
 }
 
-// lapseMargin covers a renewal's way to the server and the kill there (50 ms, from the platform's documentation).
-const lapseMargin = 60 * time.Millisecond
+// expiryMargin covers a renewal's way to the server and the kill there (50 ms, from the platform's documentation).
+const expiryMargin = 60 * time.Millisecond
--- a/internal/request/shard/events.go
+++ b/internal/request/shard/events.go
@@ -90,7 +90,7 @@
 	if rn == nil {
 		return ldr.takeActions()
 	}
-	rn.stopping = false
+	rn.stopInProgress = false
 	switch res {
 	case Accepted:
 		rn.stopAcceptedAt = now
@@ -340,7 +340,7 @@
 }
 
 // expireLeases queues the orders of a server again whose leases have expired by any clock. A start without an answer may still be carried
-// out: that run stays counted as unclaimed, so that the server gets no task, until a stop is accepted.
+// out: that run is to stay counted as unclaimed, so that the server gets no task, until a stop is accepted.
 func (ldr *Leader) expireLeases(now time.Time, srv *server) {
 	for _, rn := range srv.runs {
 		ord := rn.ord
--- a/internal/request/shard/leader.go
+++ b/internal/request/shard/leader.go
@@ -71,7 +71,7 @@
 // Token returns the fencing token that the shard was taken over with.
 func (ldr *Leader) Token() int64 { return ldr.token }
 
-// TakeoverComplete reports whether the takeover is complete; no task starts before.
+// TakeoverComplete reports whether the leader may start tasks and extend leases.
 func (ldr *Leader) TakeoverComplete() bool { return ldr.takeoverComplete }
 
 // AddOwners adds the owner of each order that this leader has to set.
@@ -241,7 +241,7 @@
 }
 
 func (ldr *Leader) sendStop(srv *server, rn *run) {
-	rn.stopping = true
+	rn.stopInProgress = true
 	ldr.emit(StopRun{Server: srv.ent, Run: rn.id, Token: ldr.token})
 }
 
@@ -254,8 +254,9 @@
 	ldr.emit(SendReport{Owner: ord.Owner, Report: rep})
 }
 
-// Resign gives up the shard and all orders. It reports orders that never started here as NotRun, and the others, which the next leader may
-// let run on, as Lost. Waiting reassigned orders are Lost too, as it is not proven that they run nowhere.
+// Resign gives up the shard and all orders. It reports waiting orders as NotRun, with MayHaveRun if a server may have begun them, and
+// orders with a run, which the next leader may let run on, as Lost. Waiting reassigned orders are Lost too, as it is not proven that they
+// run nowhere. Cancelled orders get no report.
 func (ldr *Leader) Resign() []Action {
 	for _, ord := range ldr.orders {
 		switch {
@@ -281,7 +282,7 @@
 	if !ldr.adopting(now) {
 		clear(ldr.unclaimedEnds)
 	}
-	ldr.rates.update(now, ldr.serviceRate(), ldr.meanRun, ldr.waiting(now))
+	ldr.rates.update(now, ldr.serviceRate(), ldr.meanRun, ldr.waitingProcessor(now))
 	ldr.returnTooLateOrders(now)
 	ldr.advance(now, nil)
 	return ldr.takeActions()
@@ -303,7 +304,7 @@
 // maintain repeats the stops that are due on a server, restarts stalled runs elsewhere, expires leases and sends the next renewal.
 func (ldr *Leader) maintain(now time.Time, srv *server) {
 	for _, rn := range srv.runs {
-		if rn.state == ending && rn.stopAcceptedAt.IsZero() && !rn.stopping && !now.Before(rn.stopDue) {
+		if rn.state == ending && rn.stopAcceptedAt.IsZero() && !rn.stopInProgress && !now.Before(rn.stopDue) {
 			ldr.sendStop(srv, rn)
 		}
 		if ldr.stalled(now, srv, rn) {
@@ -321,10 +322,10 @@
 	}
 }
 
-// stalled reports whether a run made no progress for Config.StallTimeout. The server must have answered since the last progress: a
-// paused leader, or one that got no answers, has seen no progress either.
+// stalled reports whether a run made no progress for Config.StallTimeout. The server must have answered a renewal that was sent more than
+// StallTimeout-RenewWait after the last progress: a paused leader, or one that got no answers, has seen no progress either.
 func (ldr *Leader) stalled(now time.Time, srv *server, rn *run) bool {
-	if rn.state != running || rn.ord == nil || rn.percent >= percents || now.Sub(rn.progressAt) <= ldr.cfg.StallTimeout {
+	if rn.state != running || rn.ord == nil || rn.percent >= percentDone || now.Sub(rn.progressAt) <= ldr.cfg.StallTimeout {
 		return false
 	}
 	return srv.confirmedAt.Sub(rn.progressAt) > ldr.cfg.StallTimeout-ldr.cfg.RenewWait
--- a/internal/request/shard/leader_test.go
+++ b/internal/request/shard/leader_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestCapacityIsCountedInProcessors(t *testing.T) {
-	// Servers enforce no limits: a third task of 14 cores on one of 32 would break its neighbours. A run that is being stopped, or a start
-	// that may still be carried out, keeps its capacity until the server shows that it is over.
+	// Servers enforce no limits: a third task of 14 cores on one of 32 would slow its neighbours. A run that is being stopped keeps its
+	// capacity until the server shows that it is over.
 	cases := map[string]func(har *harness, run RunID){
 		"running": func(*harness, RunID) {},
 		"being stopped": func(har *harness, run RunID) {
@@ -115,9 +115,9 @@
 	}
 }
 
-func TestStopWithoutAnswerEndsTheRenewals(t *testing.T) {
-	// An owner is lost and the stop of its run gets no answer. If the server's leases were renewed for its other tasks, that run would stay
-	// alive past the time at which the caller submits the job again.
+func TestStopWithoutAnswerEndsLeaseExtension(t *testing.T) {
+	// An owner is lost and the stop of its run gets no answer. Renewals go on, but if they extended the server's leases for its other tasks,
+	// that run would stay alive past the time at which the caller submits the job again.
 	chk := is.New(t)
 	har := newHarness(t, serverEntry("s", 32000))
 	har.place(0, "j.0")
--- a/internal/request/shard/loss.go
+++ b/internal/request/shard/loss.go
@@ -19,7 +19,7 @@
 func (ldr *Leader) lossy() bool { return ldr.lossRate > lossyRate }
 
 // missedTolerated returns how many renewals in a row a server may miss and still get new tasks. At a low loss rate one miss means that the
-// server is gone; at 30% most servers would be closed at any time.
+// server is gone; at 30% most servers would get no new tasks at any time.
 func (ldr *Leader) missedTolerated() int {
 	if !ldr.lossy() {
 		return 0
--- a/internal/request/shard/owner.go
+++ b/internal/request/shard/owner.go
@@ -19,7 +19,7 @@
 	ldr.noStartsUntil = until
 	for _, srv := range ldr.servers {
 		for _, rn := range srv.runs {
-			rn.timed, rn.spansPause = true, true
+			rn.timeHandled, rn.spansPause = true, true
 		}
 	}
 }
--- a/internal/request/shard/pause_test.go
+++ b/internal/request/shard/pause_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against servers that are quarantined, and runs that are stopped, because their leader was paused and saw no progress.
-func TestPausedLeaderQuarantinesNoServer(t *testing.T) {
+// Guards against runs that are stopped because their leader was paused and saw no progress.
+func TestPausedLeaderStopsNoRun(t *testing.T) {
 	const step = 50 * time.Millisecond
 	cases := map[string]struct {
 		// seen is the progress listed by the renewals, one per step; a negative one means no answer.
--- a/internal/request/shard/place.go
+++ b/internal/request/shard/place.go
@@ -203,30 +203,30 @@
 		return nil
 	}
 	var bst *freeServer
-	var bstRank int
+	var bstMismatch int
 	for idx := range fss {
 		fsv := &fss[idx]
 		if fsv.processor < ord.Processor || fsv.memory < ord.Memory || !fsv.srv.suits(ord) {
 			continue
 		}
-		rnk := fsv.rank(ord)
-		if bst == nil || rnk < bstRank || rnk == bstRank && fsv.tighter(bst) {
-			bst, bstRank = fsv, rnk
+		mis := fsv.mismatch(ord)
+		if bst == nil || mis < bstMismatch || mis == bstMismatch && fsv.tighter(bst) {
+			bst, bstMismatch = fsv, mis
 		}
 	}
 	return bst
 }
 
-// rank returns how well the server suits an order apart from free capacity; 0 is best.
-func (fsv *freeServer) rank(ord *order) int {
-	rnk := 0
+// mismatch returns how badly the server suits an order apart from free capacity; 0 is best.
+func (fsv *freeServer) mismatch(ord *order) int {
+	mis := 0
 	if slices.Contains(ord.Avoid, fsv.srv.ent.ID) {
-		rnk += 2
+		mis += 2
 	}
 	if ord.Rack != "" && !slices.Contains(fsv.srv.ent.Labels, ord.Rack) {
-		rnk++
+		mis++
 	}
-	return rnk
+	return mis
 }
 
 // tighter reports whether the server has less free processor than another; server IDs break ties.
@@ -281,12 +281,12 @@
 			lod.Free = append(lod.Free, prc)
 		}
 	}
-	lod.RankWaits = ldr.rates.waits(rate, ldr.waiting(now))
+	lod.RankWaits = ldr.rates.waits(rate, ldr.waitingProcessor(now))
 	return lod
 }
 
-// waiting returns how much processor the waiting orders of each rank need, in thousandths of a core.
-func (ldr *Leader) waiting(now time.Time) [Ranks]int64 {
+// waitingProcessor returns how much processor the waiting orders of each rank need, in thousandths of a core.
+func (ldr *Leader) waitingProcessor(now time.Time) [Ranks]int64 {
 	var wrk [Ranks]int64
 	for _, ord := range ldr.que.orders {
 		wrk[ldr.rank(now, ord)] += ord.Processor
--- a/internal/request/shard/queue.go
+++ b/internal/request/shard/queue.go
@@ -14,18 +14,21 @@
 	run *run
 	// sibs is the record of its step's run times, kept here because each placement round needs it.
 	sibs *siblings
-	srv  *server
+	// srv is the server of the run, or of the last one if its end was listed.
+	srv *server
 	// receivedAt is when the order came to this leader.
 	receivedAt time.Time
 	// notBefore is the earliest time to start the task; for a reassigned order, until when it may still run for another leader.
 	notBefore time.Time
 	// mayHaveRun is set once a start was sent that a server may have carried out.
 	mayHaveRun bool
-	cancelled  bool
-	runNumber  int64
+	// cancelled is set if the order is removed without a report when its run is over.
+	cancelled bool
+	// runNumber is the number of the last run started here, raised by runNumberJump at a refusal.
+	runNumber int64
 }
 
-// jobBegun reports whether another task of the job may have started, in this shard or another.
+// jobStarted reports whether another task of the job may have started, in this shard or another.
 func (ord *order) jobStarted() bool { return ord.JobStarted || ord.sibs != nil && ord.sibs.started }
 
 // submission returns the submission's part of the task's name.
--- a/internal/request/shard/rank.go
+++ b/internal/request/shard/rank.go
@@ -34,8 +34,8 @@
 	return [...]Rank{2 * pri, 2*pri + 1, uselessRank}
 }
 
-// rank returns the rank of an order. A started job, in this shard or another, is finished before others start: if its last tasks waited,
-// the work done for it would be lost.
+// rank returns the rank of an order. An order of a started job, in this shard or another, counts as in time while it can be done while of
+// use: if the last tasks of the job waited behind others, the work done for it would be lost.
 func (ldr *Leader) rank(now time.Time, ord *order) Rank {
 	done := now.Add(ord.ExpectedRunTime)
 	if ord.jobStarted() && !done.After(ord.UsefulUntil) {
--- a/internal/request/shard/server.go
+++ b/internal/request/shard/server.go
@@ -73,10 +73,11 @@
 	progressAt time.Time
 	// stopAt is when the first stop was sent, stopDue when the next is due, stopAcceptedAt when the server accepted one.
 	stopAt, stopDue, stopAcceptedAt time.Time
-	stopping                        bool
-	// timed is set once the run time was used as evidence of its server's speed. spansPause is set if the leader was paused during the
-	// run: its time, as seen here, is then no evidence.
-	timed, spansPause bool
+	// stopInProgress is set from a StopRun until its result.
+	stopInProgress bool
+	// timeHandled is set once the run time was used as evidence of its server's speed, or if it can't be used. spansPause is set if the
+	// leader was paused during the run: its time, as seen here, also stays out of the mean run time.
+	timeHandled, spansPause bool
 }
 
 type runState int
@@ -203,8 +204,8 @@
 	return false
 }
 
-// hasOverdueStop reports whether a run has waited longer than patience for a stop to be accepted. Renewing the server's leases would
-// keep that run alive past the time at which its caller submits the job again.
+// hasOverdueStop reports whether a run has waited longer than timeout for a stop to be accepted. Renewing the server's leases would keep
+// that run alive past the time at which its caller submits the job again.
 func (srv *server) hasOverdueStop(now time.Time, timeout time.Duration) bool {
 	for _, rn := range srv.runs {
 		if rn.state == ending && rn.stopAcceptedAt.IsZero() && !rn.stopAt.IsZero() && now.Sub(rn.stopAt) > timeout {
--- a/internal/request/shard/speed.go
+++ b/internal/request/shard/speed.go
@@ -36,7 +36,8 @@
 type speed struct {
 	// evidence is the natural logarithm of the odds that the server is slow, at least 0.
 	evidence float64
-	// step is the last step whose run was compared with its estimate: further tasks of it have the same error.
+	// step is the step of the last run whose time was used as evidence: a further run of it is not compared with the estimate, whose error
+	// would be the same.
 	step string
 	// The server is quarantined until quarantinedUntil; quarantines counts those in a row. tried is set once a run was
 	// judged since the last.
@@ -87,31 +88,31 @@
 
 // observeRunTime uses a run's time, or its projected time, as evidence of its server's speed and quarantines the server if it is slow.
 func (ldr *Leader) observeRunTime(now time.Time, srv *server, rn *run, took time.Duration) {
-	if rn.timed || took <= 0 || rn.ord == nil {
+	if rn.timeHandled || took <= 0 || rn.ord == nil {
 		return
 	}
-	rn.timed = true
-	tak := math.Log(took.Seconds())
+	rn.timeHandled = true
+	logTook := math.Log(took.Seconds())
 	mean, spread, known := ldr.expectedRunTime(rn.ord)
 	switch {
 	case !known:
 		// Without an expected time the run can't decide the trial, and the server would stay on trial for good.
 		srv.spd.quarantines = 0
 	case spread == siblingSpread || srv.spd.step != rn.ord.Step:
-		srv.spd.addSample(tak-mean, spread)
+		srv.spd.addSample(logTook-mean, spread)
 		srv.spd.step = rn.ord.Step
-		ldr.quarantineIfSlow(now, srv, math.Exp(tak-mean))
+		ldr.quarantineIfSlow(now, srv, math.Exp(logTook-mean))
 	}
-	ldr.noteSibling(now, rn.ord, tak)
+	ldr.noteSibling(now, rn.ord, logTook)
 }
 
 // noteSibling records the logarithm of a run time for the other tasks of its step and for the bias of estimates.
-func (ldr *Leader) noteSibling(now time.Time, ord *order, took float64) {
+func (ldr *Leader) noteSibling(now time.Time, ord *order, logTook float64) {
 	if ord.ExpectedRunTime > 0 {
-		ldr.estimateBias += biasWeight * (took - math.Log(ord.ExpectedRunTime.Seconds()) - ldr.estimateBias)
+		ldr.estimateBias += biasWeight * (logTook - math.Log(ord.ExpectedRunTime.Seconds()) - ldr.estimateBias)
 	}
 	sib := ldr.siblings(now, ord.Step)
-	sib.sum += took
+	sib.sum += logTook
 	sib.count++
 }
 
@@ -148,7 +149,7 @@
 		return
 	}
 	elapsed := now.Sub(rn.sentAt)
-	whole := elapsed * percents / time.Duration(rn.percent)
+	whole := elapsed * percentDone / time.Duration(rn.percent)
 	mean, _, known := ldr.expectedRunTime(rn.ord)
 	expected := time.Duration(math.Exp(mean) * float64(time.Second))
 	if !known || whole < time.Duration(slowFactor*float64(expected)) {
@@ -166,7 +167,7 @@
 func (ldr *Leader) nextSuspicion(now time.Time, srv *server) (time.Duration, bool) {
 	next, found := time.Duration(0), false
 	for _, rn := range srv.runs {
-		if rn.state != running || rn.ord == nil || rn.timed {
+		if rn.state != running || rn.ord == nil || rn.timeHandled {
 			continue
 		}
 		mean, _, known := ldr.expectedRunTime(rn.ord)
@@ -182,7 +183,8 @@
 }
 
 const (
-	percents = 100
+	// percentDone is the progress of a run that is done.
+	percentDone = 100
 	// slowFactor is how many times the expected run time a projected time must reach to be evidence.
 	slowFactor = 2.5
 	// suspectFactor is the multiple of the expected run time after which a run is suspect; one sound run in six takes longer.
--- a/internal/request/shard/speed_test.go
+++ b/internal/request/shard/speed_test.go
@@ -32,7 +32,7 @@
 	har.acts = nil
 }
 
-func TestSlowServerIsPausedAndTried(t *testing.T) {
+func TestSlowServerIsQuarantinedAndTried(t *testing.T) {
 	// Every third run takes six times as long as its two siblings, always on one server. The server is quarantined after the second such
 	// run, then gets one task at a time until an end decides. A run without siblings must decide too, or a pool of jobs with one task would
 	// keep the server on trial for good.
--- a/internal/request/shard/takeover.go
+++ b/internal/request/shard/takeover.go
@@ -29,7 +29,7 @@
 			}
 			srv.assign(rn, ord)
 			ord.run, ord.srv = rn, srv
-			rn.timed = true // The run's start time is not known here.
+			rn.timeHandled = true // The run's start time is not known here.
 			if rn.state == running {
 				rn.sentAt, rn.progressAt = now, now
 				ldr.report(ord, Started, 0)
@@ -90,8 +90,9 @@
 	return true
 }
 
-// completeTakeover completes the takeover when its conditions hold. It stops the unclaimed runs before any lease is renewed, or a run could
-// outlast the time until its caller submits the job again, and run beside its own copy.
+// completeTakeover completes the takeover once all servers have listed their runs and orders have come for all of them, or at the latest
+// after Config.AdoptWait. It stops the unclaimed runs before any lease is renewed, or a run could outlast the time until its caller submits
+// the job again, and run beside its own copy.
 func (ldr *Leader) completeTakeover(now time.Time) {
 	if ldr.adopting(now) && !ldr.allClaimed() {
 		return
--- a/internal/request/shard/takeover_test.go
+++ b/internal/request/shard/takeover_test.go
@@ -149,7 +149,7 @@
 
 // Guards against a task that runs twice because a leader that has dropped servers reports that the task runs nowhere, while a former leader
 // runs it on one of them.
-func TestLeaderWithoutServersProvesNothing(t *testing.T) {
+func TestDroppedServersDelayReturnUntilOrphanExpiry(t *testing.T) {
 	s1, s2 := serverEntry("s1", 32000), serverEntry("s2", 32000)
 	cases := map[string]struct {
 		// list is the listing at the takeover and left the one afterwards; answer lists the servers that confirm the leader.
@@ -194,7 +194,7 @@
 			}
 			chk.Equal(har.reports(NotRun), 0)
 			har.advance(DefaultConfig().OrphanExpiry)
-			chk.Equal(har.reports(NotRun), 1) // The chain of leases has expired.
+			chk.Equal(har.reports(NotRun), 1) // OrphanExpiry has passed since the order came.
 		})
 	}
 }
--- a/internal/request/shard/types.go
+++ b/internal/request/shard/types.go
@@ -101,14 +101,17 @@
 
 // Order asks the leader of a shard to run a task and to report its end.
 type Order struct {
-	Task    string
+	// Task identifies the task: the submission's ID, a dot and the rest of the task's name.
+	Task string
+	// Owner is the instance that sent the order and gets its reports.
 	Owner   InstanceID
 	Service string
 	// Payload is passed to the backend server.
 	Payload string
 	// Processor is in thousandths of a core, Memory in MB.
 	Processor, Memory int64
-	Priority          int
+	// Priority 0 is the most urgent; Priorities-1 and above count as the least urgent.
+	Priority int
 	// Arrived is when the submission came in. Its answer is due at Due and of use to the caller until UsefulUntil.
 	Arrived, Due, UsefulUntil time.Time
 	// ExpectedRunTime is a rough estimate.
@@ -117,7 +120,8 @@
 	Label, Rack string
 	// MaxPerServer bounds how many tasks of Step run on one server; 0 means no bound.
 	MaxPerServer int
-	Step         string
+	// Step identifies the step of the job that the task belongs to; tasks of one step are siblings.
+	Step string
 	// Avoid lists the servers where the task failed before; they are used only if no other has free capacity.
 	Avoid []ServerID
 	// Reassigned is set if the order was with a former leader of the shard, which may have started it. Such an order has no payload: most
@@ -131,10 +135,10 @@
 	// JobStarted is set if another task of the job may have started. Such an order is kept however long it waits, and goes before others,
 	// as the work already done for the job would be lost.
 	JobStarted bool
-	// ReturnIfBusy asks for the order back if it can't start at once.
+	// ReturnIfBusy asks for the order back if no server can take it and its expected wait for capacity is long (see returnWait).
 	ReturnIfBusy bool
-	// Recall asks for an earlier order back if it still waits. It never starts the task: the earlier order may be on its way back already,
-	// and its owner then sends it to another leader.
+	// Recall sets ReturnIfBusy on an earlier order that still waits. It never starts the task: the earlier order may be on its way back
+	// already, and its owner then sends it to another leader.
 	Recall bool
 }
 
@@ -174,7 +178,8 @@
 	// Took is the run time, and Server is where the task ran.
 	Took   time.Duration
 	Server ServerID
-	// MayHaveRun is set with NotRun if a server may have begun the task: a start got no answer and was stopped.
+	// MayHaveRun is set if a server may have begun the task. It has a meaning only with NotRun: a start got no answer, or its run was cut
+	// short, and that run is over.
 	MayHaveRun bool
 	// TooLate is set with NotRun if the task would not have been done here while its answer is of use.
 	TooLate bool
