--- a/internal/request/shard/leader_test.go
+++ b/internal/request/shard/leader_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestCapacityIsCountedInProcessors(t *testing.T) {
-	// Servers enforce no limits: a third task of 14 cores on one of 32 would slow its neighbours. A run that is being stopped keeps its
-	// capacity until the server shows that it is over.
+	// Servers enforce no limits: a third task of 14 cores on one of 32 would take capacity from the other two. A run that is being stopped
+	// keeps its capacity until the server shows that it is over.
 	cases := map[string]func(har *harness, run RunID){
 		"running": func(*harness, RunID) {},
 		"being stopped": func(har *harness, run RunID) {
