--- a/internal/connection/rpc/conn.go
+++ b/internal/connection/rpc/conn.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// Stats are counters of one end of the transport since its start.
+// Stats are the counters of one end of the transport since its start.
 type Stats struct {
 	BytesIn  uint64
 	BytesOut uint64
 	Calls    uint64
 }
 
-// Counters count what passes one end of the transport; they are safe for concurrent use.
+// Counters counts the bytes and calls of one end of the transport. It is safe for concurrent use.
 type Counters struct {
 	in    atomic.Uint64
 	out   atomic.Uint64
 	calls atomic.Uint64
 }
 
-// Call counts a call.
-func (cnt *Counters) Call() { cnt.calls.Add(1) }
+// CountCall counts one call.
+func (cnt *Counters) CountCall() { cnt.calls.Add(1) }
 
 // Stats returns the bytes and calls so far.
 func (cnt *Counters) Stats() Stats {
 	return Stats{BytesIn: cnt.in.Load(), BytesOut: cnt.out.Load(), Calls: cnt.calls.Load()}
 }
 
-// Conn counts bytes and notes when the peer was last heard.
+// Conn is a connection that counts its bytes and notes when the peer last sent any.
 //
-// Each write has a deadline: a peer that reads no more fills the socket's buffer, and the library
-// then holds its send lock for good, so that every later call on the connection would wait past its
-// own timeout. After the deadline the write fails and the connection is closed.
+// Each write has a deadline: a peer that no longer reads lets the socket's buffer fill up, and jsonrpc2 then holds its send lock
+// for good, so that every later call on the connection would wait beyond its own timeout. After the deadline the write fails and
+// the connection is closed.
 type Conn struct {
 	net.Conn
 	cnt          *Counters
@@ -41,8 +41,8 @@
 	lastRead     atomic.Int64
 }
 
-// Watch returns a connection that counts, and bounds the time of each write unless the bound is 0.
-func Watch(con net.Conn, cnt *Counters, writeTimeout time.Duration) *Conn {
+// WrapConn returns a connection that counts its bytes in cnt and bounds the time of each write; 0 sets no bound.
+func WrapConn(con net.Conn, cnt *Counters, writeTimeout time.Duration) *Conn {
 	return &Conn{Conn: con, cnt: cnt, writeTimeout: writeTimeout, start: time.Now()}
 }
 
@@ -66,12 +66,12 @@
 	num, err := wcn.Conn.Write(buf)
 	wcn.cnt.out.Add(uint64(num))
 	if err != nil {
-		_ = wcn.Close() // The write's error is the one that counts.
+		_ = wcn.Close() // Only the error of the write is returned.
 	}
 	return num, err
 }
 
-// HeardSince reports whether the peer sent anything after a time.
-func (wcn *Conn) HeardSince(tim time.Time) bool {
+// ReceivedSince reports whether the peer sent anything after a time.
+func (wcn *Conn) ReceivedSince(tim time.Time) bool {
 	return wcn.lastRead.Load() > int64(tim.Sub(wcn.start))
 }
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -279,7 +279,7 @@
 		ID: dmn.self, Domain: set.FailureDomain, Cores: set.Processor,
 	}, now)
 	dmn.mesh = mesh.New(mesh.Config{
-		Name: set.Instance, Life: life, Address: set.PeerAddress, Interval: heartbeatInterval, SilentBeats: missedHeartbeats,
+		Name: set.Instance, Incarnation: life, Address: set.PeerAddress, HeartbeatInterval: heartbeatInterval, MissedHeartbeats: missedHeartbeats,
 		CallTimeout: meshTimeout, Now: dmn.now,
 	}, dmn.prm.Dial, dmn)
 	dmn.updateShards(now)
--- a/internal/process/daemon/decide.go
+++ b/internal/process/daemon/decide.go
@@ -17,7 +17,7 @@
 	dmn.mu.Lock()
 	now := dmn.now()
 	if dmn.mesh != nil {
-		dmn.uplink.SetPeerBytes(dmn.mesh.Outstanding())
+		dmn.uplink.SetPeerBytes(dmn.mesh.UnacknowledgedBytes())
 	}
 	if !dmn.lastTickAt.IsZero() && now.Sub(dmn.lastTickAt) > longPauseThreshold {
 		for _, ldr := range dmn.leaders {
@@ -43,7 +43,7 @@
 func (dmn *Daemon) endEvent(now time.Time) {
 	dmn.runLocalActions(now)
 	if dmn.coordinator != nil && dmn.coordinator.HeldBytes() > 0 {
-		dmn.uplink.SetPeerBytes(dmn.mesh.Outstanding())
+		dmn.uplink.SetPeerBytes(dmn.mesh.UnacknowledgedBytes())
 		dmn.runCoordinatorActions(dmn.coordinator.ResumeHeld())
 		dmn.runLocalActions(now)
 	}
@@ -179,7 +179,7 @@
 			dmn.runLeaderActions(name, ldr.SetServers(now, dmn.shardListing(now, shd)))
 		}
 	}
-	dmn.mesh.Nudge()
+	dmn.mesh.SendHeartbeats()
 	// The former leader may have used servers that were added after this instance's last read.
 	dmn.requestListRead()
 }
--- a/internal/process/daemon/heard.go
+++ b/internal/process/daemon/heard.go
@@ -11,27 +11,27 @@
 )
 
 // Beat implements mesh.Handler: it returns the content of this instance's next heartbeat.
-func (dmn *Daemon) Beat() mesh.Beat {
+func (dmn *Daemon) Heartbeat() mesh.Heartbeat {
 	dmn.mu.Lock()
 	defer dmn.mu.Unlock()
-	bet := mesh.Beat{
+	bet := mesh.Heartbeat{
 		Domain: dmn.prm.Settings.FailureDomain, Processor: dmn.prm.Settings.Processor, Ready: dmn.elector.Ready(),
-		Leaving: dmn.leaving.Load(), Round: dmn.tokenRound, Divisions: maps.Clone(dmn.divisions), Domains: dmn.domains.View(),
+		Leaving: dmn.leaving.Load(), TokenRound: dmn.tokenRound, Divisions: maps.Clone(dmn.divisions), ClosedDomains: dmn.domains.View(),
 	}
 	if cfg := dmn.cfg.Load(); cfg != nil {
 		bet.ConfigVersion = cfg.Version()
 	}
 	now := dmn.now()
-	bet.ListedTo = dmn.completeListOffset(now)
+	bet.CompleteUpTo = dmn.completeListOffset(now)
 	for name, ldr := range dmn.leaders {
 		// Capacity that has just become free is also in the report of the run's end, as the next heartbeat may be 400 ms away.
-		bet.Leads = append(bet.Leads, mesh.Lead{Shard: name, Token: ldr.Token(), Load: ldr.Load(now)})
+		bet.Leaderships = append(bet.Leaderships, mesh.Leadership{Shard: name, Token: ldr.Token(), Load: ldr.Load(now)})
 	}
 	return bet
 }
 
 // Heard implements mesh.Handler: it processes a heartbeat and the messages of an instance that was alive at a time, by the own clock.
-func (dmn *Daemon) Heard(from shard.InstanceID, at time.Time, bet mesh.Beat, msgs []mesh.Message) {
+func (dmn *Daemon) HandleBatch(from shard.InstanceID, at time.Time, bet mesh.Heartbeat, msgs []mesh.Message) {
 	now := dmn.beginEvent()
 	defer dmn.endEvent(now)
 	for _, ldr := range dmn.leaders {
@@ -44,10 +44,10 @@
 }
 
 // handleHeartbeat merges the state in another instance's heartbeat and updates leaders and heartbeat intervals if leadership changed.
-func (dmn *Daemon) handleHeartbeat(now time.Time, from shard.InstanceID, bet mesh.Beat) {
-	dmn.tokenRound = max(dmn.tokenRound, bet.Round)
-	dmn.mergeClosings(now, from, bet.Domains)
-	dmn.handleCompleteOffset(now, from, bet.ListedTo)
+func (dmn *Daemon) handleHeartbeat(now time.Time, from shard.InstanceID, bet mesh.Heartbeat) {
+	dmn.tokenRound = max(dmn.tokenRound, bet.TokenRound)
+	dmn.mergeClosings(now, from, bet.ClosedDomains)
+	dmn.handleCompleteOffset(now, from, bet.CompleteUpTo)
 	if dmn.divisions.Merge(bet.Divisions) {
 		dmn.log.Info().Str("from", string(from)).Interface("divisions", bet.Divisions).Msg("division into shards changed")
 		dmn.updateShards(now)
@@ -56,7 +56,7 @@
 		ID: from, Domain: bet.Domain, Cores: bet.Processor,
 		Ready: bet.Ready, Leaving: bet.Leaving, Leads: map[shard.Name]int64{},
 	}
-	for _, led := range bet.Leads {
+	for _, led := range bet.Leaderships {
 		ins.Leads[led.Shard] = led.Token
 	}
 	fresh, changed := dmn.elector.HandleHeartbeat(ins)
@@ -69,7 +69,7 @@
 		dmn.updateLeaders()
 		dmn.updatePaces()
 	}
-	for _, led := range bet.Leads {
+	for _, led := range bet.Leaderships {
 		if dmn.coordinator.IsLeader(submission.Target{Shard: led.Shard, Leader: from, Token: led.Token}) {
 			dmn.runCoordinatorActions(dmn.coordinator.HandleLoad(led.Shard, led.Load))
 		}
@@ -111,14 +111,14 @@
 	switch msg := msg.(type) {
 	case mesh.Order:
 		dmn.placeOrder(now, submission.Target{Shard: msg.Shard, Leader: dmn.self, Token: msg.Token}, msg.Order)
-	case mesh.Withdrawal:
+	case mesh.Cancellation:
 		if ldr := dmn.leaderWithToken(msg.Shard, msg.Token); ldr != nil {
 			dmn.runLeaderActions(msg.Shard, ldr.Cancel(now, from, msg.Task))
 		}
 	case mesh.Report:
 		dmn.logReport(from, msg.Report)
 		dmn.runCoordinatorActions(dmn.coordinator.HandleReport(now, from, msg.Report))
-	case mesh.Missed:
+	case mesh.LossNotice:
 		dmn.suspectPeer(from, msg.Instance)
 	case mesh.Configuration:
 		// In the background, as it takes the lock that is held here.
@@ -152,18 +152,18 @@
 }
 
 // Late implements mesh.Handler: it logs and counts a batch that was rejected because of its age.
-func (dmn *Daemon) Late(from shard.InstanceID, age time.Duration, messages int) {
+func (dmn *Daemon) HandleStaleBatch(from shard.InstanceID, age time.Duration, messages int) {
 	dmn.cnt.lateBatches.Add(1)
 	dmn.log.Warn().Str("peer", string(from)).Dur("age", age).Int("messages", messages).Msg("batch comes too late")
 }
 
 // Lost implements mesh.Handler: it passes the loss of an instance to all decision types.
-func (dmn *Daemon) Lost(id shard.InstanceID, cau mesh.Cause) {
+func (dmn *Daemon) HandleInstanceLost(id shard.InstanceID, cau mesh.Cause) {
 	now := dmn.beginEvent()
 	defer dmn.endEvent(now)
 	dmn.log.Warn().Str("peer", string(id)).Str("cause", string(cau)).Msg("instance lost")
 	dmn.announceLoss(id, cau)
-	dmn.elector.HandleInstanceLost(now, id, cau.Silence())
+	dmn.elector.HandleInstanceLost(now, id, cau.IsSilence())
 	for name, ldr := range dmn.leaders {
 		dmn.runLeaderActions(name, ldr.HandleOwnerLost(now, id))
 	}
@@ -176,12 +176,12 @@
 // that is to take over its shards.
 func (dmn *Daemon) announceLoss(lost shard.InstanceID, cau mesh.Cause) {
 	ins := dmn.elector.Peers()[lost]
-	if ins == nil || ins.Domain != dmn.prm.Settings.FailureDomain || !cau.Silence() || cau == mesh.Doubted {
+	if ins == nil || ins.Domain != dmn.prm.Settings.FailureDomain || !cau.IsSilence() || cau == mesh.Suspected {
 		return // Its end was seen, or the instance that missed it first has told the others.
 	}
 	for id, oth := range dmn.elector.Peers() {
 		if id != lost && oth.Domain == ins.Domain {
-			dmn.mesh.Send(id, mesh.Missed{Instance: lost})
+			dmn.mesh.Send(id, mesh.LossNotice{Instance: lost})
 		}
 	}
 }
@@ -192,5 +192,5 @@
 		return
 	}
 	dmn.log.Info().Str("peer", string(missed)).Str("from", string(from)).Msg("instance missed by another")
-	dmn.mesh.Doubt(missed)
+	dmn.mesh.Suspect(missed)
 }
--- a/internal/process/daemon/instance_faults_test.go
+++ b/internal/process/daemon/instance_faults_test.go
@@ -222,7 +222,7 @@
 	cfg := shard.DefaultConfig()
 	// Missed heartbeats are checked for each half interval, so that a loss is noticed up to half an interval late. When the sum left that out,
 	// the owner started the task 30 ms before the lease had expired.
-	noticed := missedHeartbeats*heartbeatInterval + heartbeatInterval/2 + mesh.ReadTime
+	noticed := missedHeartbeats*heartbeatInterval + heartbeatInterval/2 + mesh.SocketReadTime
 	// A renewal just before the end of the stop's patience extends the lease once more: the whole expiry comes on top.
 	over := noticed + cfg.StopTimeout + cfg.Expiry()
 	chk.True(over < orphanExpiry)   // After it the owner starts the task elsewhere.
--- a/internal/process/daemon/pace.go
+++ b/internal/process/daemon/pace.go
@@ -25,7 +25,7 @@
 	near := dmn.elector.DomainPeerCount()
 	nearPace := max(minPace, near/nearPeersPerBeat)
 	farPace := max(minPace, (len(others)-near)/farPeersPerBeat)
-	paces := make(map[shard.InstanceID]mesh.Pace, len(others))
+	paces := make(map[shard.InstanceID]mesh.Schedule, len(others))
 	for id, ins := range others {
 		pace := farPace
 		if ins.Domain == own {
@@ -37,14 +37,14 @@
 		case !dmn.elector.LeadsAny() && len(ins.Leads) == 0:
 			pace = max(pace, idlePace)
 		}
-		paces[id] = mesh.Pace{Intervals: pace, OpenOrders: dmn.openOrdersWith[id]}
+		paces[id] = mesh.Schedule{Intervals: pace, OpenOrders: dmn.openOrdersWith[id]}
 	}
-	dmn.mesh.SetPaces(paces)
+	dmn.mesh.SetSchedules(paces)
 }
 
 // nudgeDomain sends a heartbeat at once to the instances of the own failure domain, after a change that matters for who leads its shards.
 func (dmn *Daemon) nudgeDomain() {
-	dmn.mesh.NudgeIf(func(id shard.InstanceID) bool {
+	dmn.mesh.SendHeartbeatsIf(func(id shard.InstanceID) bool {
 		ins := dmn.elector.Peers()[id]
 		return ins != nil && ins.Domain == dmn.prm.Settings.FailureDomain
 	})
--- a/internal/request/dispatch/sim_test.go
+++ b/internal/request/dispatch/sim_test.go
@@ -11,7 +11,8 @@
 	"chestnutstack/internal/request/job"
 )
 
-// sim is an event queue in virtual time; the fakes around it know latency, loss and slots only.
+// sim is an event queue in virtual time. The simulated network and servers model latency, message loss and slots
+// only.
 type sim struct {
 	now    time.Time
 	events events
@@ -21,6 +22,7 @@
 
 var simStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// event is a function call at a virtual time; seq orders calls at the same time.
 type event struct {
 	at  time.Time
 	seq uint64
@@ -53,6 +55,7 @@
 
 func (smn *sim) after(dur time.Duration, fun func()) { smn.at(smn.now.Add(dur), fun) }
 
+// run handles the events up to the given time.
 func (smn *sim) run(until time.Time) {
 	for len(smn.events) > 0 && !smn.events[0].at.After(until) {
 		evt := heap.Pop(&smn.events).(event)
@@ -85,7 +88,7 @@
 	}
 )
 
-// cluster is a set of Dispatchers over fake backend servers.
+// cluster is a set of Dispatchers with simulated backend servers.
 type cluster struct {
 	*sim
 	shp     shape
@@ -94,17 +97,20 @@
 	entries []*simEntry
 	servers []*simServer
 	byID    map[dispatch.ServerID]*simServer
-	// runTime tells how long a task really takes, and whether it fails.
-	runTime  func(tid job.TaskID) (time.Duration, bool)
+	// runTime returns the actual run time of a task, and whether it fails.
+	runTime func(tid job.TaskID) (time.Duration, bool)
+	// ended, if set, is called with each job that ends; answered with each successful task whose result arrives.
 	ended    func(ent *simEntry, jb *job.Job)
 	answered func(tid job.TaskID)
-	starts   map[string]int
-	sent     map[job.SubmissionID]int
-	doubles  int
-	// doubled makes every message of a backend server arrive twice, the second time late.
-	doubled bool
+	// starts counts the starts of each task on servers, sent those sent for each submission.
+	starts       map[string]int
+	sent         map[job.SubmissionID]int
+	doubleStarts int
+	// duplicateMessages makes every message of a backend server arrive twice, the second time late.
+	duplicateMessages bool
 }
 
+// simEntry is a simulated entry instance with its Dispatcher.
 type simEntry struct {
 	cls      *cluster
 	id       dispatch.PeerID
@@ -113,19 +119,21 @@
 	dead     bool
 	paused   bool
 	sessions map[dispatch.ServerID]*simSession
-	wakeAt   time.Time
+	// tickAt is when the earliest scheduled HandleTick is due; zero if there is none.
+	tickAt time.Time
 }
 
-// simSession is one connection; a silent one loses what is sent on it, both ways.
+// simSession is one connection; a silent one loses all messages in both directions without an error.
 type simSession struct {
 	ent    *simEntry
 	srv    *simServer
 	closed bool
 	silent bool
-	// slow delays what the entry sends; it arrives even after the entry has turned to a new one.
+	// slow delays the messages of the entry; they arrive even after the entry has opened a new connection.
 	slow time.Duration
 }
 
+// unlimited is a Limits that allows everything.
 type unlimited struct{}
 
 func (unlimited) Take(time.Time, *job.Class, string) bool { return true }
@@ -170,7 +178,7 @@
 	return cls
 }
 
-// publish gives every live entry the present membership.
+// publish sets the current membership on every live entry.
 func (cls *cluster) publish() {
 	for _, ent := range cls.entries {
 		if !ent.dead {
@@ -196,7 +204,7 @@
 		}
 	}
 	homes := homesOf(servers, peers)
-	ent.event(func(now time.Time) { ent.dsp.SetPool(now, servers, homes, peers) })
+	ent.event(func(now time.Time) { ent.dsp.SetMembership(now, servers, homes, peers) })
 }
 
 func (cls *cluster) latency(one, two string) time.Duration {
@@ -211,7 +219,8 @@
 	return cls.entries[idx]
 }
 
-// event runs a call on the Dispatcher and carries out what it decides.
+// event calls fun, which calls the Dispatcher, and carries out the resulting actions; a paused entry does it once
+// the pause is over.
 func (ent *simEntry) event(fun func(now time.Time)) {
 	if ent.dead {
 		return
@@ -224,6 +233,7 @@
 	ent.flush()
 }
 
+// flush sends the messages and carries out the other actions that the Dispatcher returned.
 func (ent *simEntry) flush() {
 	act := ent.dsp.Actions()
 	batches := map[dispatch.ServerID]*batch{}
@@ -240,7 +250,7 @@
 		bat := get(stt.Server)
 		bat.starts = append(bat.starts, stt)
 	}
-	for _, ask := range act.Asks {
+	for _, ask := range act.Queries {
 		get(ask.Server).asks = append(get(ask.Server).asks, ask.Task)
 	}
 	for _, rev := range act.Revokes {
@@ -249,7 +259,7 @@
 	for _, stp := range act.Stops {
 		get(stp.Server).stops = append(get(stp.Server).stops, stp.Task)
 	}
-	for _, sid := range act.Renews {
+	for _, sid := range act.Renewals {
 		get(sid).renew = true
 	}
 	for _, sid := range order {
@@ -258,7 +268,7 @@
 	for _, sid := range act.Reconnects {
 		ent.connect(sid)
 	}
-	ent.talk(act)
+	ent.sendToPeers(act)
 	for _, end := range act.Ended {
 		if ent.cls.ended != nil {
 			ent.cls.ended(ent, end.Job)
@@ -268,27 +278,27 @@
 	ent.schedule()
 }
 
-// talk carries the messages to peers.
-func (ent *simEntry) talk(act *dispatch.Actions) {
+// sendToPeers delivers the messages to peers.
+func (ent *simEntry) sendToPeers(act *dispatch.Actions) {
 	for _, bor := range act.Borrows {
 		per := ent.cls.entry(bor.Peer)
 		lat := ent.cls.latency(ent.domain, per.domain)
 		bor.Peer = ent.id
 		ent.cls.after(lat, func() {
 			if per.dead {
-				ent.cls.after(lat, func() { ent.event(func(now time.Time) { ent.dsp.PeerFailed(now, per.id) }) })
+				ent.cls.after(lat, func() { ent.event(func(now time.Time) { ent.dsp.HandlePeerFailure(now, per.id) }) })
 				return
 			}
 			per.event(func(now time.Time) {
-				grt := per.dsp.BorrowAsked(now, bor)
-				ent.cls.after(lat, func() { ent.event(func(now time.Time) { ent.dsp.Granted(now, grt) }) })
+				grt := per.dsp.HandleBorrow(now, bor)
+				ent.cls.after(lat, func() { ent.event(func(now time.Time) { ent.dsp.HandleGrant(now, grt) }) })
 			})
 		})
 	}
 	for _, off := range act.Offers {
 		per := ent.cls.entry(off.To)
 		ent.cls.after(ent.cls.latency(ent.domain, per.domain), func() {
-			per.event(func(now time.Time) { per.dsp.Granted(now, off.Grant) })
+			per.event(func(now time.Time) { per.dsp.HandleGrant(now, off.Grant) })
 		})
 	}
 	for _, ret := range act.Returns {
@@ -296,22 +306,23 @@
 		ret.Peer = ent.id
 		ret.Loans = slices.Clone(ret.Loans)
 		ent.cls.after(ent.cls.latency(ent.domain, per.domain), func() {
-			per.event(func(now time.Time) { per.dsp.Returned(now, ret) })
+			per.event(func(now time.Time) { per.dsp.HandleReturn(now, ret) })
 		})
 	}
 }
 
+// schedule schedules the next HandleTick.
 func (ent *simEntry) schedule() {
-	due := ent.dsp.NextWake()
-	if due.IsZero() || (!ent.wakeAt.IsZero() && !due.Before(ent.wakeAt)) {
+	due := ent.dsp.NextTick()
+	if due.IsZero() || (!ent.tickAt.IsZero() && !due.Before(ent.tickAt)) {
 		return
 	}
 	due = maxTime(due, ent.cls.now)
-	ent.wakeAt = due
+	ent.tickAt = due
 	ent.cls.at(due, func() {
-		if ent.wakeAt.Equal(due) {
-			ent.wakeAt = time.Time{}
-			ent.event(ent.dsp.Wake)
+		if ent.tickAt.Equal(due) {
+			ent.tickAt = time.Time{}
+			ent.event(ent.dsp.HandleTick)
 		}
 	})
 }
@@ -323,6 +334,7 @@
 	return two
 }
 
+// connect opens a new session to the server and closes the former one.
 func (ent *simEntry) connect(sid dispatch.ServerID) {
 	srv := ent.cls.byID[sid]
 	if old := ent.sessions[sid]; old != nil {
@@ -337,7 +349,7 @@
 		}
 		if srv.down {
 			ent.cls.after(lat, func() {
-				ent.event(func(now time.Time) { ent.dsp.SessionDown(now, sid, true) })
+				ent.event(func(now time.Time) { ent.dsp.HandleSessionDown(now, sid, true) })
 			})
 			return
 		}
@@ -345,12 +357,13 @@
 		rep := srv.report()
 		ent.cls.after(lat, func() {
 			if !ses.closed {
-				ent.event(func(now time.Time) { ent.dsp.SessionUp(now, sid, rep) })
+				ent.event(func(now time.Time) { ent.dsp.HandleSessionUp(now, sid, rep) })
 			}
 		})
 	})
 }
 
+// send delivers a batch to the server, unless the session or server loses it.
 func (ent *simEntry) send(sid dispatch.ServerID, bat *batch) {
 	ses := ent.sessions[sid]
 	if ses == nil || ses.closed || ses.silent {
--- a/internal/request/dispatch/simserver_test.go
+++ b/internal/request/dispatch/simserver_test.go
@@ -8,7 +8,7 @@
 	"chestnutstack/internal/request/job"
 )
 
-// batch is what one flush says to one backend server.
+// batch holds the messages of one flush to one backend server.
 type batch struct {
 	starts  []dispatch.Start
 	asks    []job.TaskID
@@ -17,19 +17,20 @@
 	renew   bool
 }
 
-// simServer runs tasks by the rules of backend.proto.
+// simServer is a simulated backend server that follows the rules of backend.proto.
 type simServer struct {
-	cls      *cluster
-	id       dispatch.ServerID
-	domain   string
-	rack     string
-	slots    uint32
-	free     uint32
-	speed    float64
-	epoch    int
-	leaving  bool
-	down     bool
-	cutOff   bool
+	cls     *cluster
+	id      dispatch.ServerID
+	domain  string
+	rack    string
+	slots   uint32
+	free    uint32
+	speed   float64
+	epoch   int
+	leaving bool
+	down    bool
+	cutOff  bool
+	// failAll makes each task fail after a millisecond; cutOff makes the server lose all messages.
 	failAll  bool
 	unlisted bool
 	tasks    map[string]*simTask
@@ -49,7 +50,7 @@
 
 func taskKey(tid job.TaskID) string { return fmt.Sprintf("%s#%d", tid.Submission(), tid.Index()) }
 
-// restart begins a new incarnation that knows nothing.
+// restart begins a new incarnation that knows no tasks.
 func (srv *simServer) restart() {
 	srv.epoch++
 	srv.down = false
@@ -59,7 +60,7 @@
 	srv.sessions = map[dispatch.PeerID]*simSession{}
 }
 
-// crash ends all that runs; open connections break.
+// crash ends all running tasks and breaks all open connections.
 func (srv *simServer) crash() {
 	srv.down = true
 	srv.epoch++
@@ -70,7 +71,7 @@
 		}
 		ses.closed = true
 		srv.cls.after(srv.cls.latency(ent.domain, srv.domain), func() {
-			ent.event(func(now time.Time) { ent.dsp.SessionDown(now, srv.id, false) })
+			ent.event(func(now time.Time) { ent.dsp.HandleSessionDown(now, srv.id, false) })
 		})
 	}
 }
@@ -116,22 +117,23 @@
 	}
 }
 
+// reply sends a report on the session, twice if the cluster duplicates messages.
 func (srv *simServer) reply(ses *simSession, rep dispatch.Report) {
 	rep.FreeSlots = srv.free
 	ent := ses.ent
 	if ses.closed || ses.silent || srv.cutOff {
 		return
 	}
-	if srv.cls.doubled {
+	if srv.cls.duplicateMessages {
 		again := rep
 		again.FreeSlots = 0
 		srv.cls.after(time.Duration(srv.cls.rnd.IntN(200))*time.Millisecond, func() {
-			ent.event(func(now time.Time) { ent.dsp.Reported(now, again) })
+			ent.event(func(now time.Time) { ent.dsp.HandleReport(now, again) })
 		})
 	}
 	srv.cls.after(srv.cls.latency(ent.domain, srv.domain), func() {
 		if !ses.closed && !ses.silent && !srv.cutOff {
-			ent.event(func(now time.Time) { ent.dsp.Reported(now, rep) })
+			ent.event(func(now time.Time) { ent.dsp.HandleReport(now, rep) })
 			for idx := range rep.Results {
 				if srv.cls.answered != nil && rep.Results[idx].Outcome == dispatch.OutcomeOK {
 					srv.cls.answered(rep.Results[idx].Task)
@@ -141,6 +143,7 @@
 	})
 }
 
+// start starts a task or returns why it is refused.
 func (srv *simServer) start(holder dispatch.PeerID, stt *dispatch.Start) (dispatch.Refused, bool) {
 	ref := dispatch.Refused{Task: stt.Task}
 	key := taskKey(stt.Task)
@@ -171,7 +174,7 @@
 	srv.free -= stt.Slots
 	srv.cls.starts[key]++
 	if srv.cls.starts[key] > 1 {
-		srv.cls.doubles++
+		srv.cls.doubleStarts++
 	}
 	dur, fails := srv.cls.runTime(stt.Task)
 	out := dispatch.OutcomeOK
@@ -190,6 +193,7 @@
 	srv.cls.after(stt.Lease, func() { srv.leaseDue(tsk, epoch) })
 }
 
+// leaseDue stops the task if its lease has expired.
 func (srv *simServer) leaseDue(tsk *simTask, epoch int) {
 	if srv.epoch != epoch || tsk.ended {
 		return
--- a/internal/request/dispatch/stop_test.go
+++ b/internal/request/dispatch/stop_test.go
@@ -11,6 +11,7 @@
 	"chestnutstack/internal/request/verdict"
 )
 
+// plainJob returns a job of tasks that need one slot each.
 func plainJob(cls *cluster, name string, tasks int) *job.Job {
 	return job.New(job.NewID("sim", name), job.Spec{
 		Submission: job.SubmissionID(name), Admitted: cls.now, Tasks: make([]job.TaskSpec, tasks),
@@ -18,12 +19,13 @@
 	})
 }
 
+// runFor returns a run time function by which each task succeeds after the given time.
 func runFor(run time.Duration) func(job.TaskID) (time.Duration, bool) {
 	return func(job.TaskID) (time.Duration, bool) { return run, false }
 }
 
-// A task that runs longer than its lease is ended by the backend server unless the lease is
-// renewed: the user would see a long export cut short. One message renews all tasks on a server.
+// Guards against long tasks that are stopped in the middle because nothing renewed their leases. One message
+// renews the leases of all tasks on a server.
 func TestLongTasksKeepTheirLease(tst *testing.T) {
 	iss := is.New(tst)
 	cls := newCluster(tiny, dispatch.DefaultConfig(), 1)
@@ -39,12 +41,12 @@
 		servers[jb.Task(uint32(idx)).Server()] = true
 	}
 	most := uint64(len(servers) * 34 / 5)
-	iss.True(ent.dsp.Snapshot().Renews <= most) // every half lease, not for every task
+	iss.True(ent.dsp.Snapshot().Renewals <= most) // every half lease, not for every task
 }
 
-// An entry instance that is told to stop must finish what it has, take nothing new, say that the
-// new job did not run, and give borrowed slots back.
-func TestLeaveFinishesWhatIsInProgress(tst *testing.T) {
+// An instance that drains must finish its jobs, refuse new ones with not-run and a retry time, and give borrowed
+// slots back.
+func TestDrainFinishesOpenJobs(tst *testing.T) {
 	iss := is.New(tst)
 	cls := newCluster(tiny, dispatch.DefaultConfig(), 1)
 	cls.runTime = runFor(300 * time.Millisecond)
@@ -53,7 +55,7 @@
 	jb := plainJob(cls, "old", 40)
 	ent.event(func(now time.Time) { iss.True(ent.dsp.Submit(now, jb) == nil) })
 	cls.run(simStart.Add(200 * time.Millisecond))
-	ent.event(ent.dsp.Leave)
+	ent.event(ent.dsp.Drain)
 	late := plainJob(cls, "new", 1)
 	ent.event(func(now time.Time) {
 		err := ent.dsp.Submit(now, late)
@@ -67,9 +69,9 @@
 	iss.Equal(ent.dsp.Snapshot().Borrowed, 0)
 }
 
-// A wave of cancels must not flood: one batch goes to each backend server, and tasks that wait
-// cost no message at all.
-func TestCancelStopsByServer(tst *testing.T) {
+// Cancelling large jobs must not flood the network: one batch of stops goes to each backend server, and waiting
+// tasks cost no message.
+func TestCancelSendsOneStopBatchPerServer(tst *testing.T) {
 	iss := is.New(tst)
 	cls := newCluster(tiny, dispatch.DefaultConfig(), 1)
 	cls.runTime = runFor(5 * time.Second)
