--- a/internal/request/dispatch/admit.go
+++ b/internal/request/dispatch/admit.go
@@ -30,8 +30,8 @@
 		return nil
 	}
 	dsp.jobs[jst.spec().Submission] = jst
-	jst.limit = dsp.parkOf(parkKey{reason: parkLimit, class: jst.cls.name, team: jst.spec().Team})
-	jst.limit.users++
+	jst.limitPark = dsp.parkOf(parkKey{reason: parkLimit, class: jst.cls.name, team: jst.spec().Team})
+	jst.limitPark.users++
 	dsp.enqueue(jst)
 	dsp.endEvent(now)
 	dsp.scheduleDeadline(jst)
@@ -86,7 +86,7 @@
 // admit returns why a job is refused, or nil if it is admitted.
 func (dsp *Dispatcher) admit(now time.Time, jst *jobState) *verdict.Error {
 	spc := jst.spec()
-	if dsp.leaving {
+	if dsp.draining {
 		return verdict.New(verdict.NotRun, "leaving").WithRetryAfter(minRetryAfter)
 	}
 	if dsp.jobs[spc.Submission] != nil {
@@ -211,7 +211,7 @@
 func (dsp *Dispatcher) forgetIfDone(jst *jobState) {
 	if jst.inFlight == 0 && jst.job.Ended() && dsp.jobs[jst.spec().Submission] == jst {
 		delete(dsp.jobs, jst.spec().Submission)
-		dsp.leavePark(jst.limit)
+		dsp.releaseLimitPark(jst.limitPark)
 		if jst.deadline != nil {
 			jst.deadline.jst = nil
 		}
--- a/internal/request/dispatch/api.go
+++ b/internal/request/dispatch/api.go
@@ -18,10 +18,12 @@
 	FailureDomain string
 	Rack          string
 	Worker        string
-	Slots         uint32
+	// Slots is the number of slots in total, free or not.
+	Slots uint32
 	// Capacity is the total of resources that all slots of the backend server share.
 	Capacity job.Needs
-	Leaving  bool
+	// Leaving is true if the backend server shuts down and takes no new tasks.
+	Leaving bool
 }
 
 // Home names the entry instance that a backend server is assigned to: it alone may use the server's slots or lend
@@ -33,14 +35,17 @@
 
 // Report is the content of one message from a backend server.
 type Report struct {
-	Server      ServerID
+	Server ServerID
+	// Incarnation identifies the process of the backend server; it changes with each restart.
 	Incarnation string
-	Slots       uint32
-	FreeSlots   uint32
-	Leaving     bool
-	Results     []Result
-	Refused     []Refused
-	Statuses    []Status
+	// Slots is the number of slots in total, 0 if it is not reported; FreeSlots is how many of them no task uses.
+	Slots     uint32
+	FreeSlots uint32
+	// Leaving is true if the backend server shuts down and takes no new tasks.
+	Leaving  bool
+	Results  []Result
+	Refused  []Refused
+	Statuses []Status
 }
 
 // Outcome is how a task ended on a backend server.
@@ -59,10 +64,11 @@
 type Result struct {
 	Task    job.TaskID
 	Outcome Outcome
+	// Payload is the answer of a task that ended with OutcomeOK, Error the error text of one that failed.
 	Payload []byte
 	Error   string
 	RunTime time.Duration
-	// Once says that slots that come free later need not be offered.
+	// Once is not used: nothing sets or reads it.
 	Once bool
 }
 
@@ -105,21 +111,26 @@
 
 // Status answers a query or a revoke.
 type Status struct {
-	Task   job.TaskID
-	State  TaskState
+	Task  job.TaskID
+	State TaskState
+	// Result is set only if State is TaskEnded.
 	Result Result
 }
 
 // Start tells a backend server to run a task.
 type Start struct {
-	Server   ServerID
-	Task     job.TaskID
-	Class    string
-	Payload  []byte
-	Lease    time.Duration
+	Server  ServerID
+	Task    job.TaskID
+	Class   string
+	Payload []byte
+	// Lease is how long the backend server runs the task without a renewal.
+	Lease time.Duration
+	// NotAfter is the time from which the task must not be started; zero if there is none.
 	NotAfter time.Time
-	Slots    uint32
-	Version  uint64
+	// Slots is how many slots the task takes.
+	Slots uint32
+	// Version is the version of the catalogue entry.
+	Version uint64
 	// AtMostOnce marks a task that must not run twice: the sender checks the submission's claim before it sends
 	// the start.
 	AtMostOnce bool
@@ -139,6 +150,7 @@
 
 // Borrow is a request to a peer for idle slots.
 type Borrow struct {
+	// Peer is the peer to ask in Actions, and the asking peer in HandleBorrow.
 	Peer PeerID
 	// Slots is how many slots the borrower could use at once.
 	Slots uint32
@@ -153,6 +165,7 @@
 
 // Grant answers a Borrow; it may be empty.
 type Grant struct {
+	// Peer is the lender.
 	Peer  PeerID
 	Loans []Loan
 	// Duration is how long tasks may be started on the lent slots.
@@ -169,9 +182,11 @@
 
 // Return gives borrowed slots back to the peer that lent them.
 type Return struct {
+	// Peer is the lender in Actions, and the borrower in HandleReturn.
 	Peer  PeerID
 	Loans []Loan
-	Free  uint32
+	// Free is how many slots the borrower itself could lend.
+	Free uint32
 }
 
 // Ended reports that a job has ended.
--- a/internal/request/dispatch/bench_test.go
+++ b/internal/request/dispatch/bench_test.go
@@ -71,7 +71,7 @@
 		bch.Run(fmt.Sprintf("servers-%d-own-%d-teams-%d", size.servers, size.own, benchTeams), func(bch *testing.B) {
 			dsp, now := benchDispatcher(size.servers, size.own, benchTeams)
 			var inFlight []*attempt
-			for _, srv := range dsp.listing {
+			for _, srv := range dsp.serverList {
 				srv.each(func(att *attempt) { inFlight = append(inFlight, att) })
 			}
 			if len(inFlight) == 0 {
--- a/internal/request/dispatch/borrow.go
+++ b/internal/request/dispatch/borrow.go
@@ -257,7 +257,7 @@
 		dsp.idleSince = now
 	}
 	due := dsp.idleSince.Add(dsp.cfg.Loan.ReturnDelay)
-	if unused < dsp.cfg.Loan.ReturnSlots && now.Before(due) && !dsp.leaving {
+	if unused < dsp.cfg.Loan.ReturnSlots && now.Before(due) && !dsp.draining {
 		dsp.scheduleBorrow(due)
 		return
 	}
@@ -283,7 +283,7 @@
 // back: their loan ends when it expires.
 func (dsp *Dispatcher) giveBack(now time.Time, srv *server, rets []Return) []Return {
 	unused := srv.acct.Borrowed() - min(srv.acct.Borrowed(), srv.acct.InUse())
-	for _, lon := range srv.acct.Loans() {
+	for _, lon := range srv.acct.BorrowedLoans() {
 		if unused == 0 {
 			break
 		}
--- a/internal/request/dispatch/config.go
+++ b/internal/request/dispatch/config.go
@@ -41,7 +41,8 @@
 	LongShare float64
 	// PartnerShare is the share of the usable slots that one partner may take while another has submitted a job
 	// within PartnerActiveTime.
-	PartnerShare      float64
+	PartnerShare float64
+	// PartnerActiveTime is how long a partner counts as active after it submitted a job.
 	PartnerActiveTime time.Duration
 	// MaxWait is the longest expected wait with which a job is still admitted.
 	MaxWait time.Duration
--- a/internal/request/dispatch/dispatcher.go
+++ b/internal/request/dispatch/dispatcher.go
@@ -29,12 +29,12 @@
 	classes    map[string]*class
 	partners   map[job.Partner]*partner
 	servers    map[ServerID]*server
-	// listing holds the values of servers in a fixed order, since the iteration order of a map is random.
-	listing  []*server
-	peers    []*peer
-	detector *fault.Detector
-	timers   timers
-	recent   recentAttempts
+	// serverList holds the values of servers in a fixed order, since the iteration order of a map is random.
+	serverList []*server
+	peers      []*peer
+	detector   *fault.Detector
+	timers     timers
+	recent     recentAttempts
 
 	// queued counts the tasks that wait only for a free slot.
 	queued int
@@ -65,9 +65,9 @@
 	borrowAt time.Time
 	// idleSince is since when borrowed slots have been unused; zero while none are.
 	idleSince time.Time
-	// leaving is true after Drain.
-	leaving bool
-	stats   Stats
+	// draining is true after Drain.
+	draining bool
+	stats    Stats
 }
 
 // New returns a Dispatcher without backend servers and peers; SetMembership adds them.
@@ -122,7 +122,7 @@
 // are given back.
 func (dsp *Dispatcher) Drain(now time.Time) {
 	dsp.beginEvent(now)
-	dsp.leaving = true
+	dsp.draining = true
 	dsp.endEvent(now)
 }
 
@@ -138,7 +138,7 @@
 func (dsp *Dispatcher) beginEvent(now time.Time) {
 	if due := dsp.NextTick(); !due.IsZero() && now.Sub(due) > dsp.cfg.Lease {
 		dsp.stats.Pauses++
-		for _, srv := range dsp.listing {
+		for _, srv := range dsp.serverList {
 			if srv.up {
 				dsp.endSession(now, srv)
 			}
@@ -173,7 +173,7 @@
 		dsp.deadlineDue(now, tmr.dln)
 	case timerRelease:
 		dsp.lim.Release(now, tmr.jst.spec().Class, tmr.jst.spec().Team)
-		dsp.unparkOne(tmr.jst.limit)
+		dsp.unparkOne(tmr.jst.limitPark)
 	case timerReconnect:
 		dsp.reconnectDue(now, tmr.srv)
 	case timerUnreachable:
--- a/internal/request/dispatch/lend.go
+++ b/internal/request/dispatch/lend.go
@@ -142,7 +142,7 @@
 // lendableNow returns how many idle slots of this instance's own backend servers can be lent, beyond the reserve;
 // 0 while own tasks wait or this instance drains.
 func (dsp *Dispatcher) lendableNow() uint32 {
-	if dsp.queued > 0 || dsp.leaving {
+	if dsp.queued > 0 || dsp.draining {
 		return 0
 	}
 	free := dsp.pool.HomeFree()
--- a/internal/request/dispatch/measure_test.go
+++ b/internal/request/dispatch/measure_test.go
@@ -58,9 +58,9 @@
 				// Under overload the policies without a queue send hundreds of messages for each task.
 				continue
 			}
-			fmt.Println(runGuess("random, retry on refusal", randomServer, shp, trf, wkl, *measureSeed).row())
-			fmt.Println(runGuess("two choices", twoChoices, shp, trf, wkl, *measureSeed).row())
-			fmt.Println(runGuess("own guess", ownGuess, shp, trf, wkl, *measureSeed).row())
+			fmt.Println(runServerChoice("random, retry on refusal", randomServer, shp, trf, wkl, *measureSeed).row())
+			fmt.Println(runServerChoice("two choices", twoChoices, shp, trf, wkl, *measureSeed).row())
+			fmt.Println(runServerChoice("own guess", mostFree, shp, trf, wkl, *measureSeed).row())
 		}
 	}
 }
--- a/internal/request/dispatch/members.go
+++ b/internal/request/dispatch/members.go
@@ -13,7 +13,7 @@
 	for _, hom := range homes {
 		own[hom.Server] = hom.Peer == dsp.cfg.Self
 	}
-	for _, srv := range dsp.listing {
+	for _, srv := range dsp.serverList {
 		srv.listed = false
 	}
 	for _, inf := range servers {
@@ -21,8 +21,8 @@
 	}
 	dsp.removeUnlisted()
 	dsp.setPeers(peers)
-	dsp.detector.SetServerCount(len(dsp.listing))
-	for _, srv := range dsp.listing {
+	dsp.detector.SetServerCount(len(dsp.serverList))
+	for _, srv := range dsp.serverList {
 		if !srv.up && !srv.reconnecting && dsp.sessionNeeded(srv) {
 			dsp.reconnect(now, srv)
 		}
@@ -36,7 +36,7 @@
 	if srv == nil {
 		srv = &server{id: inf.ID}
 		dsp.servers[inf.ID] = srv
-		dsp.listing = append(dsp.listing, srv)
+		dsp.serverList = append(dsp.serverList, srv)
 	}
 	if srv.up && srv.info.Slots > 0 {
 		// The slots that the server reported are more recent than those of the list, which lags behind.
@@ -49,8 +49,8 @@
 
 // removeUnlisted removes the backend servers that are not listed and have no task in flight.
 func (dsp *Dispatcher) removeUnlisted() {
-	kept := dsp.listing[:0]
-	for _, srv := range dsp.listing {
+	kept := dsp.serverList[:0]
+	for _, srv := range dsp.serverList {
 		if srv.listed || srv.attempts != nil {
 			dsp.setOpen(srv)
 			kept = append(kept, srv)
@@ -63,8 +63,8 @@
 		dsp.pool.Remove(srv.acct)
 		delete(dsp.servers, srv.id)
 	}
-	clear(dsp.listing[len(kept):])
-	dsp.listing = kept
+	clear(dsp.serverList[len(kept):])
+	dsp.serverList = kept
 }
 
 // setPeers replaces the peers and keeps the state of those that are still listed. Requests to the others are
--- a/internal/request/dispatch/park.go
+++ b/internal/request/dispatch/park.go
@@ -130,9 +130,9 @@
 	return prk
 }
 
-// leavePark removes the park of a limit once no job uses it any more; there is one for each pair of team and
-// catalogue entry.
-func (dsp *Dispatcher) leavePark(prk *park) {
+// releaseLimitPark ends a job's use of the park of its limit, and removes the park when no job uses it any more;
+// there is one for each pair of team and catalogue entry.
+func (dsp *Dispatcher) releaseLimitPark(prk *park) {
 	prk.users--
 	if prk.users == 0 {
 		delete(dsp.parks, prk.key)
--- a/internal/request/dispatch/place.go
+++ b/internal/request/dispatch/place.go
@@ -45,12 +45,12 @@
 		return
 	}
 	if !dsp.lim.Take(now, jst.spec().Class, jst.spec().Team) {
-		dsp.parkJob(now, jst, jst.limit)
+		dsp.parkJob(now, jst, jst.limitPark)
 		return
 	}
 	dsp.startTask(now, jst, acc, wid)
-	jst.limit.pause = 0
-	dsp.unparkOne(jst.limit)
+	jst.limitPark.pause = 0
+	dsp.unparkOne(jst.limitPark)
 }
 
 // widths returns the number of slots that a task of the job takes, by shape; the list is extended when new shapes
@@ -158,7 +158,7 @@
 		dsp.timers.push(timer{at: now.Add(dsp.cfg.Lease), kind: timerRelease, jst: jst})
 	} else {
 		dsp.lim.Release(now, jst.spec().Class, jst.spec().Team)
-		dsp.unparkOne(jst.limit)
+		dsp.unparkOne(jst.limitPark)
 	}
 	dsp.startReserved(now, srv)
 }
--- a/internal/request/dispatch/policy_test.go
+++ b/internal/request/dispatch/policy_test.go
@@ -198,8 +198,8 @@
 	return val
 }
 
-// guess is the choice of a simple policy: it returns the server for a task, given the estimated free slots.
-type guess func(rnd *rand.Rand, estimate []int) int
+// serverChoice is the choice of a simple policy: it returns the server for a task, given the estimated free slots.
+type serverChoice func(rnd *rand.Rand, estimate []int) int
 
 func randomServer(rnd *rand.Rand, estimate []int) int { return rnd.IntN(len(estimate)) }
 
@@ -212,8 +212,8 @@
 	return one
 }
 
-// ownGuess returns the server with the most free slots by estimate.
-func ownGuess(rnd *rand.Rand, estimate []int) int {
+// mostFree returns the server with the most free slots by estimate.
+func mostFree(rnd *rand.Rand, estimate []int) int {
 	best := rnd.IntN(len(estimate))
 	for num := range estimate {
 		idx := (best + num) % len(estimate)
@@ -224,9 +224,9 @@
 	return best
 }
 
-// runGuess simulates a policy without homes: each entry sends tasks at once to the server that gss returns, first
-// in first out. After a refusal it chooses again, from the fifth refusal of a task on after a delay that doubleStarts.
-func runGuess(name string, gss guess, shp shape, trf traffic, wkl *workload, seed uint64) *outcome {
+// runServerChoice simulates a policy without homes: each entry sends tasks at once to the server that gss returns, first
+// in first out. After a refusal it chooses again, from the fifth refusal of a task on after a delay that doubles.
+func runServerChoice(name string, gss serverChoice, shp shape, trf traffic, wkl *workload, seed uint64) *outcome {
 	out := &outcome{policy: name, wasted: map[string]int{}}
 	smn := &sim{now: simStart, rnd: rand.New(rand.NewPCG(seed, 5))}
 	free := make([]int, shp.servers)
--- a/internal/request/dispatch/property_test.go
+++ b/internal/request/dispatch/property_test.go
@@ -13,23 +13,23 @@
 	"chestnutstack/internal/request/verdict"
 )
 
-// ledger is a Limits of at most most units; all of them must have been released at the end.
-type ledger struct {
-	most  int
-	taken int
-	worst int
+// boundedLimits is a Limits that has at most units units taken at once; all of them must be released at the end.
+type boundedLimits struct {
+	units    int
+	taken    int
+	maxTaken int
 }
 
-func (led *ledger) Take(time.Time, *job.Class, string) bool {
-	if led.taken >= led.most {
+func (lim *boundedLimits) Take(time.Time, *job.Class, string) bool {
+	if lim.taken >= lim.units {
 		return false
 	}
-	led.taken++
-	led.worst = max(led.worst, led.taken)
+	lim.taken++
+	lim.maxTaken = max(lim.maxTaken, lim.taken)
 	return true
 }
 
-func (led *ledger) Release(time.Time, *job.Class, string) { led.taken-- }
+func (lim *boundedLimits) Release(time.Time, *job.Class, string) { lim.taken-- }
 
 var tiny = shape{
 	name: "tiny", domains: 2, entries: 3, servers: 6, slots: 3, perRack: 2,
@@ -123,9 +123,9 @@
 }
 
 func newRandomCluster(tst *rapid.T) *randomCluster {
-	led := &ledger{most: rapid.IntRange(1, 20).Draw(tst, "limit")}
+	lim := &boundedLimits{units: rapid.IntRange(1, 20).Draw(tst, "limit")}
 	rcl := &randomCluster{
-		cluster: newClusterWith(tiny, dispatch.DefaultConfig(), led, rapid.Uint64().Draw(tst, "seed")),
+		cluster: newClusterWith(tiny, dispatch.DefaultConfig(), lim, rapid.Uint64().Draw(tst, "seed")),
 		tst:     tst, bySub: map[job.SubmissionID]*randomJob{},
 	}
 	rcl.runTime = func(tid job.TaskID) (time.Duration, bool) {
@@ -215,9 +215,9 @@
 			tst.Fatalf("%s has %d of %d slots free at the end", srv.id, srv.free, srv.slots)
 		}
 	}
-	led := rcl.lim.(*ledger)
-	if alive && led.taken != 0 || led.worst > led.most {
-		tst.Fatalf("limit of %d: %d units taken at most, %d not released", led.most, led.worst, led.taken)
+	lim := rcl.lim.(*boundedLimits)
+	if alive && lim.taken != 0 || lim.maxTaken > lim.units {
+		tst.Fatalf("limit of %d: %d units taken at most, %d not released", lim.units, lim.maxTaken, lim.taken)
 	}
 }
 
--- a/internal/request/dispatch/session.go
+++ b/internal/request/dispatch/session.go
@@ -28,7 +28,7 @@
 	dsp.endEvent(now)
 }
 
-// HandleSessionDown records the end of a session, or, with neverMade, a refused connection.
+// HandleSessionDown records the end of a session, or a refused connection if refused is true.
 func (dsp *Dispatcher) HandleSessionDown(now time.Time, sid ServerID, refused bool) {
 	dsp.beginEvent(now)
 	if srv := dsp.servers[sid]; srv != nil {
@@ -67,7 +67,7 @@
 	dsp.reconnect(now, srv)
 }
 
-// sessionLost records a lost session or refused connection and schedules the next attempt.
+// sessionLost records a lost session or refused connection and schedules the next connection attempt.
 func (dsp *Dispatcher) sessionLost(now time.Time, srv *server) {
 	dsp.markDown(now, srv)
 	if srv.refusedConns >= refusedUntilLost {
@@ -159,7 +159,7 @@
 // setOpen updates in the account whether new tasks may be started on the backend server.
 func (dsp *Dispatcher) setOpen(srv *server) { dsp.pool.SetOpen(srv.acct, srv.open()) }
 
-// reconnect opens a connection to the backend server and schedules the next attempt.
+// reconnect opens a connection to the backend server and schedules the next connection attempt.
 func (dsp *Dispatcher) reconnect(now time.Time, srv *server) {
 	dsp.act.Reconnects = append(dsp.act.Reconnects, srv.id)
 	dsp.stats.Reconnects++
@@ -190,5 +190,5 @@
 	if srv.attempts != nil {
 		return true
 	}
-	return srv.listed && (srv.acct.Home() || srv.acct.Borrowed() > 0 || len(dsp.listing) <= dsp.cfg.MaxSessions)
+	return srv.listed && (srv.acct.Home() || srv.acct.Borrowed() > 0 || len(dsp.serverList) <= dsp.cfg.MaxSessions)
 }
--- a/internal/request/dispatch/state.go
+++ b/internal/request/dispatch/state.go
@@ -17,14 +17,15 @@
 	ptn  *partner
 	item order.Item[*jobState]
 	park *park
-	// limit is the park of the job while a limit blocks it.
-	limit *park
+	// limitPark is the park for the job's catalogue entry and team, which the job is moved to when a limit blocks it.
+	limitPark *park
 	// pending holds the indexes of the waiting tasks; the last one is sent next.
 	pending []uint32
 	// countedWaiting is how many tasks of the job the counts of waiting tasks include.
 	countedWaiting int
-	attempts       []attempt
-	inFlight       int
+	// attempts has one entry for each task; inFlight counts those that are on a backend server.
+	attempts []attempt
+	inFlight int
 	// widths is how many slots a task takes on backend servers of each shape; 0 where it never fits.
 	widths []uint32
 	// declared is the average of the expected run times that the submission declares for its tasks.
@@ -76,17 +77,20 @@
 type attempt struct {
 	jst *jobState
 	idx uint32
+	// srv is the backend server that the task was sent to; nil while the attempt isn't in flight.
 	srv *server
 	// prev and next form the list of the attempts on one backend server.
 	prev, next *attempt
 	// number counts the attempts at the task, so that an outdated entry of recentAttempts is recognised.
 	number uint32
 	// width is how many slots the attempt takes, long whether it counts as a long task.
-	width    uint32
-	long     bool
+	width uint32
+	long  bool
+	// estimate is the estimated run time at the start.
 	estimate time.Duration
 	// busyPeriod is the busy period of the queue in which the estimated run time was charged to the partner.
-	busyPeriod  uint64
+	busyPeriod uint64
+	// incarnation is that of the backend server at the start.
 	incarnation string
 	// lateAt is from when on a missing answer counts as late.
 	lateAt time.Time
@@ -95,7 +99,8 @@
 	queriedAt      time.Time
 	firstQueriedAt time.Time
 	// checkAt is when the latest timerCheck is due; earlier ones are outdated.
-	checkAt  time.Time
+	checkAt time.Time
+	// refusals counts the refused starts of the task.
 	refusals int
 	// duplicate is true if the backend server refused the start because it has the task already.
 	duplicate bool
@@ -106,17 +111,20 @@
 
 // server is the state of a backend server and of the session to it.
 type server struct {
-	id          ServerID
-	acct        *slot.Server
+	id   ServerID
+	acct *slot.Server
+	// info is the description from the list, with the number of slots that the server last reported.
 	info        Server
 	incarnation string
-	up          bool
-	listed      bool
+	// up is true while there is a session, listed while the server is in the list.
+	up     bool
+	listed bool
 	// leaving is as in the server's last report; info.Leaving is as in the list.
 	leaving bool
 	// heard is when the last report arrived, renewed when the last renewal was sent.
-	heard    time.Time
-	renewed  time.Time
+	heard   time.Time
+	renewed time.Time
+	// attempts is the first of the attempts in flight on the server; nil if there is none.
 	attempts *attempt
 	// session counts the ended sessions, so that a timerUnreachable of an earlier one is recognised.
 	session uint64
--- a/internal/request/dispatch/stats.go
+++ b/internal/request/dispatch/stats.go
@@ -12,12 +12,17 @@
 	// Refusals counts the starts that backend servers refused, Retries the new attempts after a refusal.
 	Refusals, Retries uint64
 	// LateAnswers counts the answers that were ignored as late, duplicate or outdated.
-	LateAnswers                                      uint64
-	Queries, Statuses, Revokes, Stops, Renewals      uint64
-	Reconnects, Lost, Ejections, Pauses              uint64
+	LateAnswers uint64
+	// Queries, Revokes, Stops and Renewals count what was sent to backend servers, Statuses the answers received.
+	Queries, Statuses, Revokes, Stops, Renewals uint64
+	// Reconnects counts the connection attempts, Lost the lost tasks, Ejections the ejections of backend servers,
+	// Pauses the process pauses that exceeded a lease.
+	Reconnects, Lost, Ejections, Pauses uint64
+	// Grants counts the loans and offers with slots that were made to peers; GrantsReceived includes empty ones.
 	Borrows, BorrowsReceived, Grants, GrantsReceived uint64
 	Offers, Returns, ReturnsReceived                 uint64
-	SlotsBorrowed, SlotsLent                         uint64
+	// SlotsBorrowed and SlotsLent count the slots of all loans since the start.
+	SlotsBorrowed, SlotsLent uint64
 }
 
 // Snapshot returns the counters with the current counts.
@@ -29,7 +34,7 @@
 	sta.Free = int(dsp.pool.Free())
 	sta.Lent = int(dsp.pool.Lent())
 	sta.EjectedServers = dsp.detector.EjectedCount()
-	for _, srv := range dsp.listing {
+	for _, srv := range dsp.serverList {
 		sta.Borrowed += int(srv.acct.Borrowed())
 	}
 	return sta
--- a/internal/request/slot/pool.go
+++ b/internal/request/slot/pool.go
@@ -24,10 +24,10 @@
 	free   uint32
 	// homeFree is the part of free on the backend servers assigned to this instance.
 	homeFree uint32
-	// home is the number of slots of the backend servers assigned to this instance.
-	home  uint32
-	inUse uint32
-	lent  uint32
+	// homeSlots is the number of slots of the backend servers assigned to this instance.
+	homeSlots uint32
+	inUse     uint32
+	lent      uint32
 }
 
 // group holds the available backend servers of one shape and location, in buckets by free slots.
@@ -64,7 +64,7 @@
 func (pol *Pool) Free() uint32 { return pol.free }
 
 // HomeSlots returns the number of slots of the backend servers assigned to this instance, free or not.
-func (pol *Pool) HomeSlots() uint32 { return pol.home }
+func (pol *Pool) HomeSlots() uint32 { return pol.homeSlots }
 
 // HomeFree returns how many slots may be used now on the backend servers assigned to this instance.
 func (pol *Pool) HomeFree() uint32 { return pol.homeFree }
@@ -84,12 +84,12 @@
 	}
 	pol.removeFromBucket(srv)
 	if srv.home {
-		pol.home -= srv.slots
+		pol.homeSlots -= srv.slots
 	}
 	srv.slots = par.Shape.Slots
 	srv.home = par.Home
 	if srv.home {
-		pol.home += srv.slots
+		pol.homeSlots += srv.slots
 	}
 	pol.setRack(srv, par.Rack)
 	srv.group = pol.groupOf(pol.shapeOf(par.Shape), par.Local)
@@ -101,7 +101,7 @@
 func (pol *Pool) Remove(srv *Server) {
 	pol.removeFromBucket(srv)
 	if srv.home {
-		pol.home -= srv.slots
+		pol.homeSlots -= srv.slots
 	}
 	pol.inUse -= srv.inUse
 	pol.lent -= srv.lentSum
@@ -193,7 +193,7 @@
 func (pol *Pool) SetReportedFree(srv *Server, now time.Time, free uint32) {
 	srv.usedByOthers = subtractOrZero(srv.slots, min(free, srv.slots)+srv.inUse)
 	if srv.lentSum > srv.usedByOthers {
-		srv.lent = trimEnded(srv.lent, now, srv.usedByOthers)
+		srv.lentLoans = trimEnded(srv.lentLoans, now, srv.usedByOthers)
 		pol.sumLent(srv)
 	}
 	pol.updateBucket(srv)
@@ -202,7 +202,7 @@
 // sumLent updates the totals of lent slots after a change of the server's loans.
 func (pol *Pool) sumLent(srv *Server) {
 	pol.lent -= srv.lentSum
-	srv.lentSum = sum(srv.lent)
+	srv.lentSum = sum(srv.lentLoans)
 	pol.lent += srv.lentSum
 }
 
@@ -238,7 +238,7 @@
 		return 0
 	}
 	lon.Slots = cut
-	srv.lent = append(srv.lent, lon)
+	srv.lentLoans = append(srv.lentLoans, lon)
 	srv.lentSum += cut
 	pol.lent += cut
 	if srv.usedByOthers > 0 {
@@ -252,24 +252,24 @@
 
 // Borrow adds slots of a backend server that a peer lends until the given time.
 func (pol *Pool) Borrow(srv *Server, peer string, num uint32, until time.Time) {
-	srv.borrowed = append(srv.borrowed, Loan{Peer: peer, Slots: num, Until: until, DrainedAt: until})
+	srv.borrowedLoans = append(srv.borrowedLoans, Loan{Peer: peer, Slots: num, Until: until, DrainedAt: until})
 	srv.borrowedSum += num
 	pol.updateBucket(srv)
 }
 
 // Expire ends the expired loans of a backend server, lent ones (by DrainedAt) and borrowed ones.
 func (pol *Pool) Expire(srv *Server, now time.Time) {
-	srv.lent = undrained(srv.lent, now)
+	srv.lentLoans = undrained(srv.lentLoans, now)
 	pol.sumLent(srv)
-	srv.borrowed = undrained(srv.borrowed, now)
-	srv.borrowedSum = sum(srv.borrowed)
+	srv.borrowedLoans = undrained(srv.borrowedLoans, now)
+	srv.borrowedSum = sum(srv.borrowedLoans)
 	pol.updateBucket(srv)
 }
 
 // TakeBack takes back up to num slots that the peer borrowed and returns how many they were.
 func (pol *Pool) TakeBack(srv *Server, peer string, num uint32) uint32 {
-	kept, taken := takeFrom(srv.lent, peer, num)
-	srv.lent = kept
+	kept, taken := takeFrom(srv.lentLoans, peer, num)
+	srv.lentLoans = kept
 	srv.lentSum -= taken
 	pol.lent -= taken
 	srv.usedByOthers = subtractOrZero(srv.usedByOthers, taken)
@@ -279,8 +279,8 @@
 
 // GiveBack ends the use of up to num slots that were borrowed from the peer and returns how many they were.
 func (pol *Pool) GiveBack(srv *Server, peer string, num uint32) uint32 {
-	kept, taken := takeFrom(srv.borrowed, peer, num)
-	srv.borrowed = kept
+	kept, taken := takeFrom(srv.borrowedLoans, peer, num)
+	srv.borrowedLoans = kept
 	srv.borrowedSum -= taken
 	pol.updateBucket(srv)
 	return taken
--- a/internal/request/slot/pool_test.go
+++ b/internal/request/slot/pool_test.go
@@ -59,14 +59,14 @@
 
 // Guards against slots that are lost or given out twice: after any sequence of events the totals and buckets must
 // agree with the accounts of the servers.
-func TestBooksBalance(tst *testing.T) {
+func TestTotalsMatchServerAccounts(tst *testing.T) {
 	rapid.Check(tst, func(tst *rapid.T) {
 		pol, servers := newPool(4, 6)
 		clk := now
 		for range rapid.IntRange(1, 60).Draw(tst, "steps") {
 			clk = clk.Add(time.Duration(rapid.IntRange(0, 400).Draw(tst, "ms")) * time.Millisecond)
 			step(tst, pol, rapid.SampledFrom(servers).Draw(tst, "server"), clk)
-			checkBooks(tst, pol, servers)
+			checkTotals(tst, pol, servers)
 		}
 	})
 }
@@ -103,7 +103,7 @@
 	}
 }
 
-func checkBooks(tst *rapid.T, pol *slot.Pool, servers []*slot.Server) {
+func checkTotals(tst *rapid.T, pol *slot.Pool, servers []*slot.Server) {
 	var free, used, lent uint32
 	for _, srv := range servers {
 		free += srv.Free()
--- a/internal/request/slot/server.go
+++ b/internal/request/slot/server.go
@@ -23,17 +23,18 @@
 	open bool
 	// reserved is true while the server is reserved for a task of several slots.
 	reserved bool
-	removed  bool
+	// removed is true after Pool.Remove, while a timer may still reference the account.
+	removed bool
 	// maxInUse is the upper bound of the slots in use and lent while the server is probed; 0 is no bound.
 	maxInUse uint32
 	// usedByOthers is how many slots other instances use at least, by the server's last report.
 	usedByOthers uint32
-	// lent holds the loans to peers; lentSum and borrowedSum are the totals of slots.
-	lent    []Loan
-	lentSum uint32
-	// borrowed holds the loans from peers, with the times after which no task starts on them.
-	borrowed    []Loan
-	borrowedSum uint32
+	// lentLoans holds the loans to peers; lentSum and borrowedSum are the totals of slots.
+	lentLoans []Loan
+	lentSum   uint32
+	// borrowedLoans holds the loans from peers, with the times after which no task starts on them.
+	borrowedLoans []Loan
+	borrowedSum   uint32
 }
 
 // Loan is a number of slots of one backend server that are lent to one peer or borrowed from it.
@@ -64,8 +65,8 @@
 // Lent returns how many slots of the backend server are lent to peers.
 func (srv *Server) Lent() uint32 { return srv.lentSum }
 
-// Loans returns the loans by which slots of the backend server are borrowed from peers.
-func (srv *Server) Loans() []Loan { return slices.Clone(srv.borrowed) }
+// BorrowedLoans returns the loans by which slots of the backend server are borrowed from peers.
+func (srv *Server) BorrowedLoans() []Loan { return slices.Clone(srv.borrowedLoans) }
 
 // Borrowed returns how many slots of the backend server are borrowed from peers.
 func (srv *Server) Borrowed() uint32 { return srv.borrowedSum }
