--- a/internal/request/dispatch/guess_test.go
+++ b/internal/request/dispatch/guess_test.go
@@ -6,40 +6,44 @@
 	"time"
 )
 
-// lateGuess simulates the strongest policy without homes: each entry has its own queue, shortest remaining job
+// lateBinding simulates the strongest policy without homes: each entry has its own queue, shortest remaining job
 // first, and sends a task only to a backend server that probably has a free slot. Estimates of free slots come
 // from answers and refusals; a server not heard of for the time validity counts as having one free slot.
-type lateGuess struct {
+type lateBinding struct {
 	*sim
 	out      *outcome
 	shp      shape
 	free     []int
-	entries  []*guessEntry
+	entries  []*lateEntry
 	validity time.Duration
 }
 
-type guessEntry struct {
-	pol            *lateGuess
+// lateEntry is one entry of lateBinding, with its queue and its estimates of the free slots of each server. heard is
+// when the last answer or refusal of each server arrived, or when the last task was sent to it.
+type lateEntry struct {
+	pol            *lateBinding
 	num            int
 	queue          idealQueue
-	retries        []guessTask
+	retries        []lateTask
 	estimate       []int
 	heard          []time.Time
 	retryScheduled bool
 }
 
-type guessTask struct {
+// lateTask is one task of a job, by its index.
+type lateTask struct {
 	ijb *idealJob
 	idx int
 }
 
-func runLateGuess(name string, shp shape, trf traffic, wkl *workload, seed uint64, validity time.Duration) *outcome {
-	pol := &lateGuess{
+// runLateBinding runs the workload with the policy lateBinding until a minute after the last arrival.
+func runLateBinding(name string, shp shape, trf traffic, wkl *workload, seed uint64, validity time.Duration) *outcome {
+	pol := &lateBinding{
 		sim: &sim{now: simStart, rnd: rand.New(rand.NewPCG(seed, 6))}, shp: shp, validity: validity,
 		out: &outcome{policy: name, wasted: map[string]int{}}, free: make([]int, shp.servers),
 	}
 	for num := range shp.entries {
-		ent := &guessEntry{pol: pol, num: num, estimate: make([]int, shp.servers), heard: make([]time.Time, shp.servers)}
+		ent := &lateEntry{pol: pol, num: num, estimate: make([]int, shp.servers), heard: make([]time.Time, shp.servers)}
 		for idx := range pol.free {
 			pol.free[idx] = int(shp.slots)
 			ent.estimate[idx] = int(shp.slots)
@@ -59,7 +63,8 @@
 	return pol.out
 }
 
-func (ent *guessEntry) sendWaiting() {
+// sendWaiting sends refused and waiting tasks while a server probably has a free slot.
+func (ent *lateEntry) sendWaiting() {
 	for len(ent.retries) > 0 || ent.queue.Len() > 0 {
 		srv := ent.pick()
 		if srv < 0 {
@@ -71,7 +76,7 @@
 }
 
 // scheduleRetry retries after a tenth of validity, when some estimate may have expired.
-func (ent *guessEntry) scheduleRetry() {
+func (ent *lateEntry) scheduleRetry() {
 	if ent.retryScheduled {
 		return
 	}
@@ -82,7 +87,8 @@
 	})
 }
 
-func (ent *guessEntry) next() guessTask {
+// next removes and returns the task to send next: a refused one first, else the longest of the shortest job.
+func (ent *lateEntry) next() lateTask {
 	if last := len(ent.retries) - 1; last >= 0 {
 		tsk := ent.retries[last]
 		ent.retries = ent.retries[:last]
@@ -91,16 +97,17 @@
 	ijb := ent.queue[0]
 	idx := ijb.order[ijb.next]
 	ijb.next++
-	ijb.left -= ijb.sjb.times[idx]
+	ijb.remaining -= ijb.sjb.times[idx]
 	if ijb.next == len(ijb.order) {
 		heap.Pop(&ent.queue)
 	} else {
 		heap.Fix(&ent.queue, 0)
 	}
-	return guessTask{ijb: ijb, idx: idx}
+	return lateTask{ijb: ijb, idx: idx}
 }
 
-func (ent *guessEntry) pick() int {
+// pick returns the server with the most free slots by estimate, or -1 if none is estimated to have any.
+func (ent *lateEntry) pick() int {
 	best, most := -1, 0
 	off := ent.pol.rnd.IntN(len(ent.estimate))
 	for num := range ent.estimate {
@@ -116,7 +123,8 @@
 	return best
 }
 
-func (ent *guessEntry) send(tsk guessTask, srv int) {
+// send sends a task to the server, which refuses it if no slot is free when it arrives.
+func (ent *lateEntry) send(tsk lateTask, srv int) {
 	pol := ent.pol
 	lat := pol.shp.far
 	if srv%pol.shp.domains == ent.num%pol.shp.domains {
@@ -144,7 +152,8 @@
 	})
 }
 
-func (ent *guessEntry) answered(tsk guessTask, srv, seen int) {
+// answered records the answer of a task, with the free slots that the server reported.
+func (ent *lateEntry) answered(tsk lateTask, srv, seen int) {
 	ent.estimate[srv] = seen
 	ent.heard[srv] = ent.pol.now
 	ent.pol.out.addTask(tsk.ijb.sjb, tsk.idx, ent.pol.now)
--- a/internal/request/dispatch/measure_test.go
+++ b/internal/request/dispatch/measure_test.go
@@ -20,6 +20,7 @@
 	measureLong = flag.Duration("duration", time.Minute, "length of the measured workload, in virtual time")
 )
 
+// row returns the outcome as a row of the table that begins with tableHead.
 func (out *outcome) row() string {
 	var kinds []string
 	for knd, num := range out.wasted {
@@ -53,7 +54,7 @@
 			out := runDispatchers(shp, dispatch.DefaultConfig(), trf, newWorkload(shp, trf, *measureSeed), *measureSeed, nil)
 			out.policy = "Dispatcher, prefer messages"
 			fmt.Println(out.row())
-			fmt.Println(runLateGuess("own guess, late binding", shp, trf, wkl, *measureSeed, 500*time.Millisecond).row())
+			fmt.Println(runLateBinding("own guess, late binding", shp, trf, wkl, *measureSeed, 500*time.Millisecond).row())
 			if load > 1 {
 				// Under overload the policies without a queue send hundreds of messages for each task.
 				continue
@@ -74,5 +75,5 @@
 	out := runDispatchers(riga, dispatch.DefaultConfig(), trf, wkl, 1, nil)
 	iss.Equal(len(out.jobs), len(wkl.jobs)) // every job has a whole answer
 	iss.Equal(out.doubleStarts, 0)          // no task started twice
-	iss.Equal(out.failed+out.refused+out.left, 0)
+	iss.Equal(out.failed+out.refused+out.openJobs, 0)
 }
--- a/internal/request/dispatch/policy_test.go
+++ b/internal/request/dispatch/policy_test.go
@@ -14,17 +14,19 @@
 // outcome is the result of one policy for a workload.
 type outcome struct {
 	policy string
-	jobs   []float64
-	// tasks holds the response ratios of tasks; the response time counts from the job's due arrival.
+	// jobs and tasks hold response ratios: the response time, from the job's due arrival, divided by the run time of
+	// the task or of the job's longest task.
+	jobs         []float64
 	tasks        []float64
 	useful       int
 	wasted       map[string]int
 	refused      int
 	failed       int
 	doubleStarts int
-	left         int
+	openJobs     int
 }
 
+// waste returns the number of messages beyond submissions, starts and answers, as a share of these.
 func (out *outcome) waste() float64 {
 	tot := 0
 	for _, num := range out.wasted {
@@ -33,6 +35,7 @@
 	return float64(tot) / float64(max(out.useful, 1))
 }
 
+// quantile returns the value below which the given share of the sorted values lies; 0 if there are none.
 func quantile(vals []float64, share float64) float64 {
 	if len(vals) == 0 {
 		return 0
@@ -40,17 +43,20 @@
 	return vals[min(int(share*float64(len(vals))), len(vals)-1)]
 }
 
+// add records the end of a job and the messages of its submission and answer.
 func (out *outcome) add(sjb *simJob, now time.Time) {
 	sjb.ended = now
 	out.jobs = append(out.jobs, float64(now.Sub(sjb.due))/float64(sjb.longest))
 	out.useful += 2
 }
 
+// addTask records the end of a task and the messages of its start and answer.
 func (out *outcome) addTask(sjb *simJob, idx int, now time.Time) {
 	out.tasks = append(out.tasks, float64(now.Sub(sjb.due))/float64(sjb.times[idx]))
 	out.useful += 2
 }
 
+// sort sorts the response ratios, as quantile needs them.
 func (out *outcome) sort() {
 	slices.Sort(out.jobs)
 	slices.Sort(out.tasks)
@@ -86,13 +92,14 @@
 	out.doubleStarts = cls.doubleStarts
 	for _, sjb := range wkl.jobs {
 		if sjb.verdict == "" {
-			out.left++
+			out.openJobs++
 		}
 	}
 	out.sort()
 	return out
 }
 
+// submit submits the job to its entry, or to a random live one if that is dead.
 func submit(cls *cluster, sjb *simJob, out *outcome) {
 	ent := cls.entries[sjb.entry]
 	for ent.dead {
@@ -114,6 +121,7 @@
 	}
 }
 
+// countWaste adds up by kind the messages of all entries beyond submissions, starts and answers.
 func (cls *cluster) countWaste(out *outcome) {
 	for _, ent := range cls.entries {
 		sta := ent.dsp.Snapshot()
@@ -138,7 +146,7 @@
 			ijb := (*que)[0]
 			idx := ijb.order[ijb.next]
 			ijb.next++
-			ijb.left -= ijb.sjb.times[idx]
+			ijb.remaining -= ijb.sjb.times[idx]
 			if ijb.next == len(ijb.order) {
 				heap.Pop(que)
 			} else {
@@ -167,28 +175,32 @@
 	return out
 }
 
+// idealJob is a job in idealQueue. order holds the indexes of its tasks, the longest first, next the position in
+// order of the task to start next, done the number of ended tasks, remaining the run time not yet started.
 type idealJob struct {
-	sjb   *simJob
-	order []int
-	next  int
-	done  int
-	left  time.Duration
+	sjb       *simJob
+	order     []int
+	next      int
+	done      int
+	remaining time.Duration
 }
 
+// newIdealJob returns the job with none of its tasks started.
 func newIdealJob(sjb *simJob) *idealJob {
 	ijb := &idealJob{sjb: sjb}
 	for idx, dur := range sjb.times {
 		ijb.order = append(ijb.order, idx)
-		ijb.left += dur
+		ijb.remaining += dur
 	}
 	slices.SortStableFunc(ijb.order, func(one, two int) int { return cmp.Compare(sjb.times[two], sjb.times[one]) })
 	return ijb
 }
 
+// idealQueue is a heap of jobs, that with the shortest remaining run time first.
 type idealQueue []*idealJob
 
 func (que idealQueue) Len() int           { return len(que) }
-func (que idealQueue) Less(o, t int) bool { return que[o].left < que[t].left }
+func (que idealQueue) Less(o, t int) bool { return que[o].remaining < que[t].remaining }
 func (que idealQueue) Swap(o, t int)      { que[o], que[t] = que[t], que[o] }
 func (que *idealQueue) Push(val any)      { *que = append(*que, val.(*idealJob)) }
 func (que *idealQueue) Pop() any {
@@ -201,6 +213,7 @@
 // serverChoice is the choice of a simple policy: it returns the server for a task, given the estimated free slots.
 type serverChoice func(rnd *rand.Rand, estimate []int) int
 
+// randomServer returns a random server.
 func randomServer(rnd *rand.Rand, estimate []int) int { return rnd.IntN(len(estimate)) }
 
 // twoChoices returns the one of two random servers that has more free slots by the last answers.
--- a/internal/request/dispatch/property_test.go
+++ b/internal/request/dispatch/property_test.go
@@ -46,6 +46,8 @@
 	bySub  map[job.SubmissionID]*randomJob
 }
 
+// randomJob is a random job with its run times, and what came of it: refused is the refusal by Submit, ends how
+// often it was reported as ended.
 type randomJob struct {
 	jb      *job.Job
 	ent     *simEntry
@@ -56,6 +58,7 @@
 	endedAt time.Time
 }
 
+// faults holds the faults by name; each takes the server and the entry that it affects, and most end by themselves.
 var faults = map[string]func(rcl *randomCluster, srv *simServer, ent *simEntry){
 	"silent connection": func(_ *randomCluster, srv *simServer, ent *simEntry) {
 		if ses := ent.sessions[srv.id]; ses != nil {
@@ -122,6 +125,7 @@
 	})
 }
 
+// newRandomCluster draws the jobs and the faults, and schedules them.
 func newRandomCluster(tst *rapid.T) *randomCluster {
 	lim := &boundedLimits{units: rapid.IntRange(1, 20).Draw(tst, "limit")}
 	rcl := &randomCluster{
@@ -150,6 +154,7 @@
 	return rcl
 }
 
+// faultNames returns the sorted names of the faults.
 func faultNames() []string {
 	var names []string
 	for name := range faults {
@@ -159,10 +164,12 @@
 	return names
 }
 
+// millis draws a duration from low to high milliseconds.
 func millis(tst *rapid.T, name string, low, high int) time.Duration {
 	return time.Duration(rapid.IntRange(low, high).Draw(tst, name)) * time.Millisecond
 }
 
+// addJob draws a job and schedules its submission, and for one in five a cancellation.
 func (rcl *randomCluster) addJob(num int) {
 	rjb := &randomJob{fails: rapid.IntRange(0, 9).Draw(rcl.tst, "fails") == 0}
 	for range rapid.IntRange(0, 12).Draw(rcl.tst, "tasks") {
@@ -192,6 +199,7 @@
 	}
 }
 
+// check checks all jobs of live entries, and that no slot, unit of a limit or job is left over.
 func (rcl *randomCluster) check() {
 	tst := rcl.tst
 	if rcl.doubleStarts > 0 {
@@ -221,6 +229,7 @@
 	}
 }
 
+// checkJob checks that a job ended once, and that its verdict agrees with what its tasks did.
 func (rcl *randomCluster) checkJob(rjb *randomJob) {
 	tst, sub := rcl.tst, rjb.jb.Spec().Submission
 	if rjb.refused != nil {
@@ -250,6 +259,7 @@
 	}
 }
 
+// started returns how often tasks of the job were started on servers.
 func (rcl *randomCluster) started(rjb *randomJob) int {
 	num := 0
 	for idx := range rjb.jb.TaskCount() {
--- a/internal/request/dispatch/scenario_test.go
+++ b/internal/request/dispatch/scenario_test.go
@@ -59,6 +59,7 @@
 	}},
 }
 
+// run runs the scenario for the duration on the shape riga; its faults begin after a third of that time.
 func (scn scenario) run(duration time.Duration) (*outcome, *workload) {
 	scn.trf.duration = duration
 	scn.trf.misdeclared = 1
@@ -84,6 +85,7 @@
 	return ratios
 }
 
+// scenarioNames returns the sorted names of the scenarios.
 func scenarioNames() []string {
 	var names []string
 	for name := range scenarios {
@@ -110,7 +112,7 @@
 		}
 		fmt.Printf("| %s | %.3f | %.3f | %.3f | %.3f | %.2f%% | %d | %d | %d | %d | %d |\n", name,
 			quantile(one, 0.5), quantile(one, 0.99), quantile(two, 0.5), quantile(two, 0.99),
-			100*out.waste(), counts["done"], counts["failed"], counts["may-have-run"], out.refused, out.left)
+			100*out.waste(), counts["done"], counts["failed"], counts["may-have-run"], out.refused, out.openJobs)
 	}
 }
 
@@ -122,13 +124,13 @@
 			iss := is.New(tst)
 			out, wkl := scenarios[name].run(6 * time.Second)
 			iss.Equal(out.doubleStarts, 0) // no task started twice
-			dead := 0
+			openJobs := 0
 			for _, sjb := range wkl.jobs {
 				if sjb.verdict == "" && sjb.entry != 2 {
-					dead++
+					openJobs++
 				}
 			}
-			iss.Equal(dead, 0) // no job stays open on a live entry instance
+			iss.Equal(openJobs, 0) // no job stays open on a live entry instance
 			iss.True(out.failed < len(wkl.jobs)/10)
 		})
 	}
--- a/internal/request/dispatch/sim_test.go
+++ b/internal/request/dispatch/sim_test.go
@@ -140,10 +140,12 @@
 func (unlimited) Release(time.Time, *job.Class, string)   {}
 func domainName(num int) string                           { return fmt.Sprintf("domain-%d", num) }
 
+// newCluster returns a cluster without limits.
 func newCluster(shp shape, cfg dispatch.Config, seed uint64) *cluster {
 	return newClusterWith(shp, cfg, unlimited{}, seed)
 }
 
+// newClusterWith returns a cluster whose entries share the limits lim, and publishes its membership.
 func newClusterWith(shp shape, cfg dispatch.Config, lim dispatch.Limits, seed uint64) *cluster {
 	cls := &cluster{
 		sim: &sim{now: simStart, rnd: rand.New(rand.NewPCG(seed, 1))},
@@ -187,6 +189,7 @@
 	}
 }
 
+// publishTo sets the current membership on one entry.
 func (cls *cluster) publishTo(ent *simEntry) {
 	var servers []dispatch.Server
 	var peers []dispatch.Peer
@@ -207,6 +210,7 @@
 	ent.event(func(now time.Time) { ent.dsp.SetMembership(now, servers, homes, peers) })
 }
 
+// latency returns the one-way latency between two failure domains.
 func (cls *cluster) latency(one, two string) time.Duration {
 	if one == two {
 		return cls.shp.near
@@ -214,6 +218,7 @@
 	return cls.shp.far
 }
 
+// entry returns the entry with the ID.
 func (cls *cluster) entry(pid dispatch.PeerID) *simEntry {
 	idx := slices.IndexFunc(cls.entries, func(ent *simEntry) bool { return ent.id == pid })
 	return cls.entries[idx]
@@ -251,7 +256,7 @@
 		bat.starts = append(bat.starts, stt)
 	}
 	for _, ask := range act.Queries {
-		get(ask.Server).asks = append(get(ask.Server).asks, ask.Task)
+		get(ask.Server).queries = append(get(ask.Server).queries, ask.Task)
 	}
 	for _, rev := range act.Revokes {
 		get(rev.Server).revokes = append(get(rev.Server).revokes, rev.Task)
@@ -327,6 +332,7 @@
 	})
 }
 
+// maxTime returns the later of two times.
 func maxTime(one, two time.Time) time.Time {
 	if one.After(two) {
 		return one
--- a/internal/request/dispatch/simhomes_test.go
+++ b/internal/request/dispatch/simhomes_test.go
@@ -20,6 +20,7 @@
 	return homes
 }
 
+// homeOf returns the peer with the highest hash for the server, with near only among those of its failure domain.
 func homeOf(srv dispatch.Server, peers []dispatch.Peer, near bool) dispatch.PeerID {
 	var best dispatch.PeerID
 	var most uint64
--- a/internal/request/dispatch/simserver_test.go
+++ b/internal/request/dispatch/simserver_test.go
@@ -11,7 +11,7 @@
 // batch holds the messages of one flush to one backend server.
 type batch struct {
 	starts  []dispatch.Start
-	asks    []job.TaskID
+	queries []job.TaskID
 	revokes []job.TaskID
 	stops   []job.TaskID
 	renew   bool
@@ -19,17 +19,17 @@
 
 // simServer is a simulated backend server that follows the rules of backend.proto.
 type simServer struct {
-	cls     *cluster
-	id      dispatch.ServerID
-	domain  string
-	rack    string
-	slots   uint32
-	free    uint32
-	speed   float64
-	epoch   int
-	leaving bool
-	down    bool
-	cutOff  bool
+	cls         *cluster
+	id          dispatch.ServerID
+	domain      string
+	rack        string
+	slots       uint32
+	free        uint32
+	speed       float64
+	incarnation int
+	leaving     bool
+	down        bool
+	cutOff      bool
 	// failAll makes each task fail after a millisecond; cutOff makes the server lose all messages.
 	failAll  bool
 	unlisted bool
@@ -38,21 +38,23 @@
 	sessions map[dispatch.PeerID]*simSession
 }
 
+// simTask is a task on a simServer; holder is the entry that started it and renews its lease.
 type simTask struct {
-	tid      job.TaskID
-	holder   dispatch.PeerID
-	slots    uint32
-	leaseEnd time.Time
-	ended    bool
-	result   dispatch.Result
-	began    time.Time
+	tid       job.TaskID
+	holder    dispatch.PeerID
+	slots     uint32
+	leaseEnd  time.Time
+	ended     bool
+	result    dispatch.Result
+	startedAt time.Time
 }
 
+// taskKey identifies a task regardless of the attempt; it is also the answer of the task.
 func taskKey(tid job.TaskID) string { return fmt.Sprintf("%s#%d", tid.Submission(), tid.Index()) }
 
 // restart begins a new incarnation that knows no tasks.
 func (srv *simServer) restart() {
-	srv.epoch++
+	srv.incarnation++
 	srv.down = false
 	srv.free = srv.slots
 	srv.tasks = map[string]*simTask{}
@@ -63,7 +65,7 @@
 // crash ends all running tasks and breaks all open connections.
 func (srv *simServer) crash() {
 	srv.down = true
-	srv.epoch++
+	srv.incarnation++
 	for _, ent := range srv.cls.entries {
 		ses := ent.sessions[srv.id]
 		if ses == nil || ses.closed {
@@ -76,12 +78,14 @@
 	}
 }
 
+// report returns a report without results, refusals and statuses.
 func (srv *simServer) report() dispatch.Report {
 	return dispatch.Report{
-		Server: srv.id, Incarnation: fmt.Sprint(srv.epoch), Slots: srv.slots, FreeSlots: srv.free, Leaving: srv.leaving,
+		Server: srv.id, Incarnation: fmt.Sprint(srv.incarnation), Slots: srv.slots, FreeSlots: srv.free, Leaving: srv.leaving,
 	}
 }
 
+// receive processes the messages of a batch and sends refusals and statuses back.
 func (srv *simServer) receive(ses *simSession, bat *batch) {
 	rep := srv.report()
 	if bat.renew {
@@ -96,7 +100,7 @@
 			rep.Refused = append(rep.Refused, ref)
 		}
 	}
-	for _, tid := range bat.asks {
+	for _, tid := range bat.queries {
 		rep.Statuses = append(rep.Statuses, srv.status(tid))
 	}
 	for _, tid := range bat.revokes {
@@ -159,15 +163,16 @@
 	case srv.free < stt.Slots:
 		ref.Reason = dispatch.RefusedFull
 	default:
-		srv.begin(holder, stt, key)
+		srv.runTask(holder, stt, key)
 		return ref, true
 	}
 	return ref, false
 }
 
-func (srv *simServer) begin(holder dispatch.PeerID, stt *dispatch.Start, key string) {
+// runTask runs an accepted task until its run time is over or its lease expires.
+func (srv *simServer) runTask(holder dispatch.PeerID, stt *dispatch.Start, key string) {
 	tsk := &simTask{
-		tid: stt.Task, holder: holder, slots: stt.Slots, began: srv.cls.now,
+		tid: stt.Task, holder: holder, slots: stt.Slots, startedAt: srv.cls.now,
 		leaseEnd: srv.cls.now.Add(stt.Lease),
 	}
 	srv.tasks[key] = tsk
@@ -184,9 +189,9 @@
 	if srv.failAll {
 		dur = time.Millisecond
 	}
-	epoch := srv.epoch
+	epoch := srv.incarnation
 	srv.cls.after(time.Duration(float64(dur)*srv.speed), func() {
-		if srv.epoch == epoch && !tsk.ended {
+		if srv.incarnation == epoch && !tsk.ended {
 			srv.end(tsk, out)
 		}
 	})
@@ -195,7 +200,7 @@
 
 // leaseDue stops the task if its lease has expired.
 func (srv *simServer) leaseDue(tsk *simTask, epoch int) {
-	if srv.epoch != epoch || tsk.ended {
+	if srv.incarnation != epoch || tsk.ended {
 		return
 	}
 	if tsk.leaseEnd.After(srv.cls.now) {
@@ -205,11 +210,12 @@
 	srv.end(tsk, dispatch.OutcomeStopped)
 }
 
+// end ends a task and sends the result to the entry that started it.
 func (srv *simServer) end(tsk *simTask, out dispatch.Outcome) {
 	tsk.ended = true
 	srv.free += tsk.slots
 	tsk.result = dispatch.Result{
-		Task: tsk.tid, Outcome: out, Payload: []byte(taskKey(tsk.tid)), RunTime: srv.cls.now.Sub(tsk.began),
+		Task: tsk.tid, Outcome: out, Payload: []byte(taskKey(tsk.tid)), RunTime: srv.cls.now.Sub(tsk.startedAt),
 	}
 	if ses := srv.sessions[tsk.holder]; ses != nil {
 		rep := srv.report()
@@ -218,6 +224,7 @@
 	}
 }
 
+// status returns what the server knows of the task.
 func (srv *simServer) status(tid job.TaskID) dispatch.Status {
 	sta := dispatch.Status{Task: tid, State: dispatch.TaskUnknown}
 	tsk := srv.tasks[taskKey(tid)]
--- a/internal/request/dispatch/workload_test.go
+++ b/internal/request/dispatch/workload_test.go
@@ -49,11 +49,14 @@
 	misdeclared float64
 }
 
+// classShape holds the distribution of the run times of a class: the median, and the ratio of declared to actual
+// run times.
 type classShape struct {
 	median time.Duration
 	factor float64
 }
 
+// newWorkload generates the jobs for the duration of the traffic, with Poisson arrivals.
 func newWorkload(shp shape, trf traffic, seed uint64) *workload {
 	rnd := rand.New(rand.NewPCG(seed, 77))
 	wkl := &workload{bySub: map[job.SubmissionID]*simJob{}}
@@ -87,6 +90,7 @@
 	}
 }
 
+// inBurst reports whether the time is in the middle third of the workload.
 func inBurst(now time.Time, trf traffic) bool {
 	since := now.Sub(simStart)
 	return since > trf.duration/3 && since < 2*trf.duration/3
@@ -120,6 +124,7 @@
 	return rnd.IntN(num - 2)
 }
 
+// makeJob draws the tasks of a job; run times vary log-normally around the median of the class.
 func makeJob(rnd *rand.Rand, csh classShape, trf traffic) *simJob {
 	sjb := &simJob{}
 	num := jobSize(rnd)
@@ -140,6 +145,7 @@
 	return sjb
 }
 
+// jobSize draws the number of tasks of a job: half of the jobs have one, the largest 299.
 func jobSize(rnd *rand.Rand) int {
 	switch dice := rnd.Float64(); {
 	case dice < 0.5:
--- a/internal/request/slot/pool_test.go
+++ b/internal/request/slot/pool_test.go
@@ -43,6 +43,7 @@
 	iss.Equal(bare.Width(job.Needs{Accelerators: 1}), uint32(0)) // no accelerator is none
 }
 
+// newPool returns a pool of open backend servers assigned to this instance, every other one in its failure domain.
 func newPool(num int, slots uint32) (*slot.Pool, []*slot.Server) {
 	pol := slot.New(rand.New(rand.NewPCG(1, 2)))
 	var servers []*slot.Server
@@ -71,6 +72,7 @@
 	})
 }
 
+// step draws an event and applies it to the pool.
 func step(tst *rapid.T, pol *slot.Pool, srv *slot.Server, clk time.Time) {
 	num := uint32(rapid.IntRange(1, 8).Draw(tst, "number"))
 	until := clk.Add(time.Second)
@@ -103,6 +105,7 @@
 	}
 }
 
+// checkTotals checks the totals of the pool and Pick against the accounts of the servers.
 func checkTotals(tst *rapid.T, pol *slot.Pool, servers []*slot.Server) {
 	var free, used, lent uint32
 	for _, srv := range servers {
