--- a/internal/connection/mesh/age.go
+++ b/internal/connection/mesh/age.go
@@ -7,53 +7,53 @@
 // time.
 //
 // A process that was paused finds in its sockets what the others sent meanwhile and would take it for new: it would start tasks
-// that their owners have sent elsewhere by then, and count instances as alive that are gone.
+// that their owners have sent elsewhere by then, and count instances as alive that have ended.
 
-// age returns the age of this process, at least the smallest that is not encoded as 0.
-func (msh *Mesh) age(now time.Time) time.Duration {
+// processAge returns the age of this process at now, at least a microsecond: a smaller age would be encoded as 0, which means none.
+func (msh *Mesh) processAge(now time.Time) time.Duration {
 	return max(now.Sub(msh.startedAt), time.Microsecond)
 }
 
-// maxBatchAge returns the highest age of a batch that is accepted. Its sender declares this instance lost no earlier than that
-// long after it last heard it, and only after the rest of the leases has expired does it start elsewhere the tasks that it had
-// sent here.
+// maxBatchAge returns the highest age of a batch that is accepted. The sender takes this instance for lost no earlier than that long
+// after it last heard it, and starts the tasks that it had sent here elsewhere only once the rest of the leases has expired.
 func (msh *Mesh) maxBatchAge() time.Duration {
 	return time.Duration(msh.cfg.MissedHeartbeats) * msh.cfg.HeartbeatInterval
 }
 
-// ages are the process ages in a batch or receipt: the sender's own, and the receiver's newest that the sender has received.
-type ages struct{ own, echoed time.Duration }
+// processAges are the process ages in a batch or receipt: the sender's own, and the highest of the receiver's that the sender has
+// received.
+type processAges struct{ own, echoed time.Duration }
 
-// agesOf returns the ages in a batch or receipt.
-func agesOf(msg interface {
+// processAgesOf returns the process ages in a batch or receipt.
+func processAgesOf(msg interface {
 	GetAgeMicros() int64
 	GetHeardAgeMicros() int64
 },
-) ages {
-	return ages{own: micros(msg.GetAgeMicros()), echoed: micros(msg.GetHeardAgeMicros())}
+) processAges {
+	return processAges{own: micros(msg.GetAgeMicros()), echoed: micros(msg.GetHeardAgeMicros())}
 }
 
-// sentAfter returns a time, by this process's clock, that is before the sending of a message with these ages. Messages of
-// versions that send no ages count as sent now.
-func (msh *Mesh) sentAfter(now time.Time, ags ages) time.Time {
+// earliestSendTime returns the earliest time, by this process's clock, at which a batch or receipt with these ages can have been sent.
+// Those of versions that send no ages count as sent now.
+func (msh *Mesh) earliestSendTime(now time.Time, ags processAges) time.Time {
 	if ags.own == 0 {
 		return now
 	}
 	return msh.startedAt.Add(ags.echoed)
 }
 
-// isFresh reports whether a message that was sent after a time is new enough to be acted on.
+// isFresh reports whether a batch or receipt that was sent at the time sent or later is new enough at now to be acted on.
 func (msh *Mesh) isFresh(now, sent time.Time) bool { return now.Sub(sent) <= msh.maxBatchAge() }
 
-// notePeerAge notes the process age of a peer, to send it back with the next batch.
-func (per *peer) notePeerAge(now time.Time, ags ages) {
+// notePeerAge notes the process age of a peer that was received at now, to send it back with the next batch.
+func (per *peer) notePeerAge(now time.Time, ags processAges) {
 	if ags.own > 0 && ags.own >= per.peerAge {
 		per.peerAge, per.peerAgeAt = ags.own, now
 	}
 }
 
-// noteHeard notes a message of the peer that was sent after a time. A fresh one counts as heard now; one that was long under way
-// proves only that the peer was alive when it was sent.
+// noteHeard notes a batch or receipt of the peer that was sent at the time sent or later. A fresh one counts as heard now; a delayed
+// one proves only that the peer was alive when it was sent.
 func (msh *Mesh) noteHeard(per *peer, now, sent time.Time) {
 	if msh.isFresh(now, sent) {
 		sent = now
@@ -63,8 +63,9 @@
 	}
 }
 
-// isAgeOutdated reports whether the peer would reject a batch from here as stale, as the peer age that it would carry is too old
-// already. A batch without messages is sent first then: its receipt brings a new age, and the payloads aren't sent in vain.
-func (msh *Mesh) isAgeOutdated(per *peer, now time.Time) bool {
+// isPeerAgeOutdated reports whether the peer's process age that a batch would send back was received so long ago that the peer may
+// reject the batch as stale. A batch without messages is sent first then: its receipt brings a new age, so that payloads aren't sent
+// only to be rejected.
+func (msh *Mesh) isPeerAgeOutdated(per *peer, now time.Time) bool {
 	return per.peerAge > 0 && now.Sub(per.peerAgeAt) > msh.maxBatchAge()*3/4
 }
--- a/internal/connection/mesh/longinterval_test.go
+++ b/internal/connection/mesh/longinterval_test.go
@@ -11,16 +11,18 @@
 	"chestnutstack/internal/request/shard"
 )
 
+// longInterval is a long time between heartbeats, in units of the shortest: 4 s.
 const longInterval = 40
 
+// useLongIntervals sets the long interval on both sides and waits until it is in use.
 func useLongIntervals(one, two *node) {
 	one.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("two", 1): {Intervals: longInterval}})
 	two.msh.SetSchedules(map[shard.InstanceID]mesh.Schedule{mesh.ID("one", 1): {Intervals: longInterval}})
 	time.Sleep(10 * time.Second)
 }
 
-// A peer that is called every four seconds is cut off; without counting failed calls its loss would be detected only after four
-// of its long intervals.
+// A peer that is called every four seconds is partitioned; without the check for failing calls its loss would be detected only after
+// four of its long intervals.
 func TestInfrequentlyCalledPeerIsDetectedLost(t *testing.T) {
 	inPair(t, func(ntw *pipe.Network, one, two *node) {
 		chk := is.New(t)
--- a/internal/connection/mesh/mesh.go
+++ b/internal/connection/mesh/mesh.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// Send queues a message for delivery within the current session with an instance. Without one the message is dropped, as the
+// Send queues a message for delivery within the current session with an instance. Without a session the message is dropped, as the
 // Handler was or will be told of the loss of that instance.
 func (msh *Mesh) Send(to shard.InstanceID, msg Message) {
 	msh.mu.Lock()
@@ -113,7 +113,9 @@
 	}
 }
 
-// SetSchedules sets how often each instance gets a heartbeat. The side with the shorter interval calls.
+// SetSchedules sets how often each instance gets a heartbeat. An instance that has none in schedules counts as one without open orders
+// and keeps its interval, as does one without a session. While no messages wait, the side with the shorter interval makes the calls;
+// the receipts that the other side returns have its heartbeats, so it needs no calls of its own.
 func (msh *Mesh) SetSchedules(schedules map[shard.InstanceID]Schedule) {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
@@ -133,7 +135,7 @@
 }
 
 // Suspect notes that another instance reported the loss of a peer: the peer is called at once, and is lost if it doesn't answer
-// within Config.CallTimeout. A peer that was heard within the last heartbeat interval isn't suspected.
+// within Config.CallTimeout. A peer that was heard within the last Config.HeartbeatInterval isn't suspected.
 func (msh *Mesh) Suspect(id shard.InstanceID) {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
@@ -148,16 +150,16 @@
 	signal(per.wake)
 }
 
-// isDeferrable reports whether a message may wait for the next batch. The report that a task has started is needed by its owner
-// only to choose which orders to recall, and would cause a third of all batches.
+// isDeferrable reports whether a message may wait until a batch is sent for another reason. It may if it reports that a task has
+// started: the owner needs that only to choose which orders to recall, and it would cause a third of all batches.
 func isDeferrable(msg Message) bool {
 	rep, ok := msg.(Report)
 	return ok && rep.Report.Outcome == shard.Started
 }
 
 // SendHeartbeats sends a heartbeat to all instances at once, also to those whose session is just being set up: their first
-// heartbeats may have been encoded before the change. Without it, two instances that did not know that the other was ready both
-// took a shard over, and its jobs waited for a second.
+// heartbeats may have been encoded before the state of this instance changed. Without that, two instances that did not know that the
+// other was ready both took a shard over, and its jobs waited for a second.
 func (msh *Mesh) SendHeartbeats() { msh.SendHeartbeatsIf(func(shard.InstanceID) bool { return true }) }
 
 // SendHeartbeatsIf sends a heartbeat to the instances for which needed returns true, and to those without a session.
@@ -173,7 +175,7 @@
 
 // detectLosses ends the sessions with instances that were not heard for too long, until ctx is done.
 func (msh *Mesh) detectLosses(ctx context.Context) error {
-	tck := time.NewTicker(msh.cfg.HeartbeatInterval / lossChecks)
+	tck := time.NewTicker(msh.cfg.HeartbeatInterval / lossChecksPerInterval)
 	defer tck.Stop()
 	checked := msh.cfg.Now()
 	for {
@@ -185,9 +187,9 @@
 		now := msh.cfg.Now()
 		paused := now.Sub(checked) > msh.cfg.HeartbeatInterval
 		if paused {
-			// This process was paused: what the others sent meanwhile is unread in the sockets, and they would look silent. The
-			// sleep lets it be read. While orders are open with a peer, its loss must be detected even by a process that is short
-			// of processor all the time; for the other peers the next check decides.
+			// This process was paused: what the others sent meanwhile is unread in the sockets, and they would count as silent. The
+			// sleep lets it be read. While orders are open with a peer, its loss must be detected even by a process that is always
+			// short of processor time; for the other peers the next check decides.
 			time.Sleep(SocketReadTime)
 			now = msh.cfg.Now()
 		}
@@ -213,11 +215,12 @@
 // hundred batches on a fifth of a core.
 const SocketReadTime = 20 * time.Millisecond
 
-// lossChecks is the number of checks for lost peers in one heartbeat interval.
-const lossChecks = 2
+// lossChecksPerInterval is the number of checks for lost peers in one heartbeat interval.
+const lossChecksPerInterval = 2
 
-// discountDropped subtracts the payloads that an ended session dropped from the unacknowledged ones; the caller holds the lock.
-func (msh *Mesh) discountDropped(per *peer) {
+// subtractDropped subtracts the bytes of the payloads that ended sessions with a peer dropped from unackedPayload; the caller holds
+// the lock.
+func (msh *Mesh) subtractDropped(per *peer) {
 	msh.unackedPayload.Add(-per.droppedBytes)
 	per.droppedBytes = 0
 }
@@ -228,7 +231,7 @@
 	defer per.eventMu.Unlock()
 	msh.mu.Lock()
 	former, ended := per.end()
-	msh.discountDropped(per)
+	msh.subtractDropped(per)
 	msh.mu.Unlock()
 	if ended {
 		msh.hdl.HandleInstanceLost(former, cau)
--- a/internal/connection/mesh/mesh_test.go
+++ b/internal/connection/mesh/mesh_test.go
@@ -29,10 +29,10 @@
 	lost  int
 	stale int
 	heard map[shard.InstanceID]int
-	// skipped is by how much its clock is ahead; starved makes the clock jump each time it is read.
+	// skipped is the time by which its clock is ahead; starved makes the clock jump each time it is read.
 	skipped time.Duration
 	starved bool
-	// pausedAt is since when its process is paused; zero if it runs.
+	// pausedAt is the time since which its process is paused; zero if it runs.
 	pausedAt time.Time
 	// dialsHang makes all dials of the node hang.
 	dialsHang bool
@@ -59,7 +59,8 @@
 	nod.dialsHang = hang
 }
 
-// clock is the time of a process that may be short of processor: it jumps by more than a heartbeat interval each time it is read.
+// clock returns the time by the node's clock. In a process short of processor time it jumps by more than a heartbeat interval each
+// time it is read.
 func (nod *node) clock() time.Time {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
@@ -72,6 +73,7 @@
 	return time.Now().Add(nod.skipped)
 }
 
+// starve makes the process short of processor time for the rest of the test.
 func (nod *node) starve() {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
@@ -86,6 +88,7 @@
 	ntw.Stall(nod.name)
 }
 
+// resume ends a pause; the process then reads what was sent to it meanwhile.
 func (nod *node) resume(ntw *pipe.Network) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
@@ -104,8 +107,8 @@
 	defer nod.mu.Unlock()
 	nod.heard[from]++
 	for _, msg := range msgs {
-		if wdr, ok := msg.(mesh.Cancellation); ok {
-			nod.got = append(nod.got, wdr.Task)
+		if can, ok := msg.(mesh.Cancellation); ok {
+			nod.got = append(nod.got, can.Task)
 		}
 	}
 	if hbt.TokenRound != 7 || hbt.Processor != 0.4 || hbt.Divisions["a"].Count != 2 ||
@@ -127,6 +130,8 @@
 	delete(nod.heard, id)
 }
 
+// seen returns the tasks of the cancellations received, the number of losses told, and whether another instance was heard since the
+// last one.
 func (nod *node) seen() (got []string, lost int, hears bool) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
@@ -162,6 +167,7 @@
 	})
 }
 
+// send sends a cancellation with a number as its task.
 func (nod *node) send(to string, num int) {
 	nod.msh.Send(mesh.ID(to, 1), mesh.Cancellation{Task: fmt.Sprint(num)})
 }
@@ -235,7 +241,7 @@
 }
 
 func TestStarvedProcessDetectsLostPeer(t *testing.T) {
-	// All checks for losses come late in a process short of processor. With open orders it must detect a loss, as their tasks are
+	// All checks for losses come late in a process short of processor time. With open orders it must detect a loss, as their tasks are
 	// sent elsewhere; without it mustn't: a slow machine that had just started took shards from live leaders.
 	for openOrders, want := range map[bool]int{true: 1, false: 0} {
 		inPair(t, func(ntw *pipe.Network, one, _ *node) {
--- a/internal/connection/mesh/send.go
+++ b/internal/connection/mesh/send.go
@@ -31,7 +31,7 @@
 			return nil
 		case <-per.wake:
 		case <-gone:
-			// The peer's process may have died; a refused dial proves it at once.
+			// The peer's process may have ended; a refused dial proves it at once.
 		case <-time.After(msh.callInterval(per)):
 			if msh.repliedLately(per) {
 				continue
@@ -59,7 +59,8 @@
 // spreadParts is the number of different lengths of an interval.
 const spreadParts = 64
 
-// repliedLately reports whether a batch of the peer was answered within its interval, so that it has a heartbeat already.
+// repliedLately reports whether this instance answered a batch of the peer within the last interval; the receipt had the heartbeat that
+// would be sent now.
 func (msh *Mesh) repliedLately(per *peer) bool {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
@@ -100,6 +101,7 @@
 	return ccn.cnn.DisconnectNotify()
 }
 
+// disconnect closes the connection, if there is one; the next call dials again.
 func (ccn *callConn) disconnect() {
 	if ccn.cnn != nil {
 		_ = ccn.cnn.Close() // It may be closed already.
@@ -148,14 +150,16 @@
 	return per.ackTimes.Timeout(msh.cfg.CallTimeout, time.Duration(msh.cfg.MissedHeartbeats)*msh.cfg.HeartbeatInterval)
 }
 
-// noteAckTime notes how long a receipt took, or was waited for in vain.
+// noteAckTime notes how long a receipt took or, after a failed call, how long was waited for it.
 func (msh *Mesh) noteAckTime(per *peer, dur time.Duration) {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
 	per.ackTimes.Observe(dur)
 }
 
-// nextBatch returns the batch to send next and the peer's address; the address is empty if it isn't known.
+// nextBatch returns the batch to send next and the peer's address; the address is empty if it isn't known. It is the batch in flight
+// if there is one, else one with the messages in the outbox. Without an established session, and while the peer's process age is
+// outdated, it has only a heartbeat.
 func (msh *Mesh) nextBatch(per *peer) (*meshpb.Delivery, string) {
 	// The age is taken before the heartbeat, which is therefore at least as new. The lock isn't held yet, as the Handler may call
 	// Send under its own lock.
@@ -173,10 +177,10 @@
 	}
 	dlv := &meshpb.Delivery{
 		From: msh.cfg.Name, Address: msh.cfg.Address, Own: per.ownEpoch.encode(), Other: per.peerEpoch.encode(),
-		Beat:      encodeHeartbeat(per.withoutKnown(hbt)),
-		AgeMicros: msh.age(now).Microseconds(), HeardAgeMicros: per.peerAge.Microseconds(),
+		Beat:      encodeHeartbeat(per.withoutAckedDivisions(hbt)),
+		AgeMicros: msh.processAge(now).Microseconds(), HeardAgeMicros: per.peerAge.Microseconds(),
 	}
-	if !per.numbered || msh.isAgeOutdated(per, now) {
+	if !per.numbered || msh.isPeerAgeOutdated(per, now) {
 		return dlv, per.address // It has only a heartbeat, and no sequence number.
 	}
 	dlv.Sequence = per.sentSequence
@@ -213,23 +217,23 @@
 	defer per.eventMu.Unlock()
 	msh.mu.Lock()
 	now := msh.cfg.Now()
-	current, former, ended := per.handleGreeting(now, greetingOf(rcp))
-	if current && !rcp.GetStale() && per.numbered && per.sentSequence == dlv.GetSequence() && greetingOf(dlv).from == per.ownEpoch {
+	current, former, ended := per.updateSession(now, sessionEpochsOf(rcp))
+	if current && !rcp.GetStale() && per.numbered && per.sentSequence == dlv.GetSequence() && sessionEpochsOf(dlv).from == per.ownEpoch {
 		msh.unackedPayload.Add(-per.acknowledge(now))
 	}
 	if current {
 		// The receipt belongs to the current session, so the peer was alive when it received the batch.
-		per.notePeerAge(now, agesOf(rcp))
+		per.notePeerAge(now, processAgesOf(rcp))
 		msh.noteHeard(per, now, began)
 	}
 	if current && len(per.inFlight) > 0 {
 		signal(per.wake) // The peer rejected the batch as stale, by the peer age that it carried; send it again.
 	}
-	msh.discountDropped(per)
+	msh.subtractDropped(per)
 	id, heardAt := per.id(), per.heardAt
 	hbt := decodeHeartbeat(rcp.GetBeat())
 	if current && rcp.GetBeat() != nil {
-		hbt = per.mergeHeartbeat(hbt, agesOf(rcp).own)
+		hbt = per.mergeHeartbeat(hbt, processAgesOf(rcp).own)
 		// A receipt without a heartbeat comes from a peer that did not know the session yet and ignored the heartbeat of the batch.
 		if dvs := decodeHeartbeat(dlv.GetBeat()).Divisions; len(dvs) > 0 {
 			per.ackedDivisions = dvs
--- a/internal/connection/mesh/serve.go
+++ b/internal/connection/mesh/serve.go
@@ -63,7 +63,7 @@
 	if err == nil {
 		var data []byte
 		if data, err = proto.Marshal(hdl.msh.handleDelivery(dlv)); err == nil {
-			_ = cnn.Reply(ctx, req.ID, data) // An error means that the connection is closed, and no one is left to tell.
+			_ = cnn.Reply(ctx, req.ID, data) // An error means that the connection is closed; the peer sends the batch again.
 			return
 		}
 	}
@@ -71,6 +71,7 @@
 	_ = cnn.ReplyWithError(ctx, req.ID, rem) // As above.
 }
 
+// decodeDelivery returns the batch in a request, or an error that says what is wrong with the request.
 func decodeDelivery(req *jsonrpc2.Request) (*meshpb.Delivery, error) {
 	if req.Method != methodDeliver || req.Params == nil {
 		return nil, errors.New("expected a deliver request with parameters")
@@ -89,7 +90,8 @@
 	return dlv, nil
 }
 
-// handleDelivery passes a batch to the Handler, each sequence number once, and returns the receipt.
+// handleDelivery passes the heartbeat of a batch to the Handler, and its messages if the batch is fresh and not yet accepted, and
+// returns the receipt.
 func (msh *Mesh) handleDelivery(dlv *meshpb.Delivery) *meshpb.Receipt {
 	msh.mu.Lock()
 	per := msh.peer(dlv.GetFrom())
@@ -105,12 +107,12 @@
 		// address that the peer itself sends is used.
 		per.address = adr
 	}
-	current, former, ended := per.handleGreeting(now, greetingOf(dlv))
-	sent := msh.sentAfter(now, agesOf(dlv))
+	current, former, ended := per.updateSession(now, sessionEpochsOf(dlv))
+	sent := msh.earliestSendTime(now, processAgesOf(dlv))
 	fresh := msh.isFresh(now, sent)
 	next := current && fresh && dlv.GetSequence() > 0 && per.accept(dlv.GetSequence())
 	if current {
-		per.notePeerAge(now, agesOf(dlv))
+		per.notePeerAge(now, processAgesOf(dlv))
 		msh.noteHeard(per, now, sent)
 		per.repliedAt = now
 	}
@@ -118,15 +120,15 @@
 		// The peer needs a batch at once, to learn that the session is established or which epoch it lacks for that.
 		signal(per.wake)
 	}
-	msh.discountDropped(per)
+	msh.subtractDropped(per)
 	id, heardAt := per.id(), per.heardAt
 	hbt := decodeHeartbeat(dlv.GetBeat())
 	if current {
-		hbt = per.mergeHeartbeat(hbt, agesOf(dlv).own)
+		hbt = per.mergeHeartbeat(hbt, processAgesOf(dlv).own)
 	}
 	rcp := &meshpb.Receipt{
 		Own: per.ownEpoch.encode(), Other: per.peerEpoch.encode(), Stale: !fresh,
-		AgeMicros: msh.age(now).Microseconds(), HeardAgeMicros: per.peerAge.Microseconds(),
+		AgeMicros: msh.processAge(now).Microseconds(), HeardAgeMicros: per.peerAge.Microseconds(),
 	}
 	msh.mu.Unlock()
 	if ended {
@@ -144,10 +146,10 @@
 	}
 	msh.hdl.HandleBatch(id, heardAt, hbt, msgs)
 	// The age is taken before the heartbeat, which is therefore at least as new.
-	rcp.AgeMicros = msh.age(msh.cfg.Now()).Microseconds()
+	rcp.AgeMicros = msh.processAge(msh.cfg.Now()).Microseconds()
 	own := msh.hdl.Heartbeat()
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
-	rcp.Beat = encodeHeartbeat(per.withoutKnown(own))
+	rcp.Beat = encodeHeartbeat(per.withoutAckedDivisions(own))
 	return rcp
 }
--- a/internal/connection/mesh/session.go
+++ b/internal/connection/mesh/session.go
@@ -52,15 +52,17 @@
 	sentSequence, receivedSequence int64
 	// outbox has the messages that wait for the next batch.
 	outbox []Message
-	// inFlight are the messages of the batch that was not acknowledged yet. It is numbered once it got its sequence number.
+	// inFlight has the messages of the batch that was not acknowledged yet; numbered says that it has a sequence number.
 	inFlight []Message
 	numbered bool
 	// outboxBytes and inFlightBytes count the bytes of the payloads in outbox and inFlight. droppedBytes are payloads of ended
 	// sessions that Mesh.unackedPayload still counts.
 	outboxBytes, inFlightBytes, droppedBytes int64
-	// divisions are the peer's latest in this session; ackedDivisions are those of this instance that the peer has acknowledged.
+	// divisions are those of the latest heartbeat of the peer that had any, in this session; ackedDivisions are those of this
+	// instance that the peer has acknowledged.
 	divisions, ackedDivisions map[string]shard.Division
-	heardAt                   time.Time
+	// heardAt is the latest time, by this instance's clock, at which the peer is known to have been alive.
+	heardAt time.Time
 	// peerAge is the highest process age that the peer has sent, received at peerAgeAt.
 	peerAge   time.Duration
 	peerAgeAt time.Time
@@ -70,7 +72,7 @@
 	// eventMu is held from a change of the session until the Handler was told of it, so that the Handler is told of all changes
 	// in order. It is locked before the mesh's lock.
 	eventMu sync.Mutex
-	// unackedSince is since when a message waits for its acknowledgement; zero if none does.
+	// unackedSince is the time since which messages wait for their acknowledgement; zero if none do.
 	unackedSince time.Time
 	// repliedAt is when a batch of the peer was last answered; the answer has a heartbeat.
 	repliedAt time.Time
@@ -78,8 +80,8 @@
 	interval    time.Duration
 	shortenedAt time.Time
 	openOrders  bool
-	// failingSince is since when calls of the peer fail; suspectedAt is when another instance reported its loss. Both are void
-	// once the peer was heard afterwards.
+	// failingSince is the time since which calls of the peer fail; suspectedAt is when another instance reported its loss. Both have no
+	// effect once the peer was heard afterwards.
 	failingSince, suspectedAt time.Time
 	// ackTimes estimates how long acknowledgements take.
 	ackTimes roundtrip.Estimator
@@ -87,6 +89,7 @@
 	wake chan struct{}
 }
 
+// newPeer returns a peer without a session; incarnation is that of this instance, interval the first time between heartbeats.
 func newPeer(name string, incarnation int64, interval time.Duration) *peer {
 	return &peer{name: name, ownEpoch: epoch{incarnation: incarnation}, interval: interval, wake: make(chan struct{}, 1)}
 }
@@ -121,11 +124,12 @@
 	return per.established && per.unheardSince(per.suspectedAt) && now.Sub(per.suspectedAt) > timeout
 }
 
+// unheardSince reports whether the peer was last heard before a time; it is false for the zero time.
 func (per *peer) unheardSince(since time.Time) bool { return per.heardAt.Before(since) }
 
-// isUnacknowledged reports whether messages were not acknowledged for longer than timeout. The peer may be heard all the while,
-// if it reaches this instance but not the other way round, and would wait for messages that can't arrive: reports of ended tasks
-// did not arrive until the deadlines of their callers.
+// isUnacknowledged reports whether messages were not acknowledged for longer than timeout. The peer may be heard meanwhile, if it can
+// reach this instance but not the other way round. It would wait for messages that can't arrive: without this check reports of ended
+// tasks did not arrive until the deadlines of their callers.
 func (per *peer) isUnacknowledged(now time.Time, timeout time.Duration) bool {
 	return per.established && !per.unackedSince.IsZero() && now.Sub(per.unackedSince) > timeout
 }
@@ -146,17 +150,18 @@
 	return ""
 }
 
-// startAckWait notes that a message waits for its acknowledgement; the time counts from the longest waiting one.
+// startAckWait notes that a message waits for its acknowledgement; the time counts from the first message that waits.
 func (per *peer) startAckWait(now time.Time) {
 	if per.unackedSince.IsZero() {
 		per.unackedSince = now
 	}
 }
 
-// lostInterval bounds the time between calls of a lost peer: a peer that is back leads shards again and must be known soon.
-const lostInterval = time.Second
+// maxLostPeerInterval bounds the time between calls of a peer without a session: a peer that runs again may lead shards, so its
+// heartbeat is needed soon.
+const maxLostPeerInterval = time.Second
 
-// end ends the session, if one is established, and returns the ID of the instance that it was with.
+// end ends the session, if one is established, and returns the ID of the instance that it was with. It doesn't tell the Handler.
 func (per *peer) end() (former shard.InstanceID, ended bool) {
 	if !per.established {
 		return "", false
@@ -164,12 +169,12 @@
 	former = per.id()
 	per.established = false
 	per.ownEpoch.generation++
-	per.interval = min(per.interval, lostInterval)
-	per.clear()
+	per.interval = min(per.interval, maxLostPeerInterval)
+	per.clearSession()
 	return former, true
 }
 
-// enqueue adds a message to the outbox and returns by how many bytes the payloads in it grow; equal payloads are sent once.
+// enqueue adds a message to the outbox and returns the number of bytes by which the payloads in it grow; equal payloads are sent once.
 func (per *peer) enqueue(msg Message) int64 {
 	var byt int64
 	if ord, ok := msg.(Order); ok && !per.outboxHasPayload(ord.Order.Payload) {
@@ -188,8 +193,8 @@
 	})
 }
 
-// clear drops the messages and the state of a session; the payload bytes are added to droppedBytes.
-func (per *peer) clear() {
+// clearSession drops the messages and the state of a session; it adds the bytes of their payloads to droppedBytes.
+func (per *peer) clearSession() {
 	per.sentSequence, per.receivedSequence = 0, 0
 	per.outbox, per.inFlight, per.numbered = nil, nil, false
 	per.droppedBytes += per.outboxBytes + per.inFlightBytes
@@ -208,25 +213,25 @@
 	return bytes
 }
 
-// greeting identifies the session that a batch or receipt belongs to: the sender's own epoch and the receiver's as the sender
+// sessionEpochs identifies the session that a batch or receipt belongs to: the sender's own epoch and the receiver's as the sender
 // knows it.
-type greeting struct{ from, to epoch }
+type sessionEpochs struct{ from, to epoch }
 
-// handleGreeting updates the session from a greeting that was received at now. It reports whether the greeting belongs to the
-// session that is established now, and which instance's session ended by it, if one did.
-func (per *peer) handleGreeting(now time.Time, grt greeting) (current bool, former shard.InstanceID, ended bool) {
-	if grt.from.before(per.peerEpoch) {
+// updateSession ends or establishes the session according to the epochs in a batch or receipt that was received at now. It reports
+// whether they are those of the session that is established now, and the instance whose session has ended, if one has.
+func (per *peer) updateSession(now time.Time, eps sessionEpochs) (current bool, former shard.InstanceID, ended bool) {
+	if eps.from.before(per.peerEpoch) {
 		return false, "", false
 	}
-	if per.peerEpoch.before(grt.from) {
+	if per.peerEpoch.before(eps.from) {
 		former, ended = per.end()
-		if per.peerEpoch.incarnation != grt.from.incarnation {
+		if per.peerEpoch.incarnation != eps.from.incarnation {
 			per.peerAge, per.heartbeatAge = 0, 0
 		}
-		per.peerEpoch = grt.from
-		per.clear()
+		per.peerEpoch = eps.from
+		per.clearSession()
 	}
-	if grt.to != per.ownEpoch {
+	if eps.to != per.ownEpoch {
 		return false, former, ended
 	}
 	if !per.established {
@@ -235,8 +240,8 @@
 	return true, former, ended
 }
 
-// accept reports whether a batch of the current session is the next one, and notes it as received. A batch that is sent again
-// because its receipt was lost is not accepted twice.
+// accept reports whether a batch of the current session is the next one by its sequence number, and if so notes it as received. A
+// batch that is sent again because its receipt was lost is not accepted twice.
 func (per *peer) accept(sequence int64) bool {
 	if sequence != per.receivedSequence+1 {
 		return false
@@ -245,10 +250,10 @@
 	return true
 }
 
-// mergeHeartbeat returns the newest heartbeat of the peer: hbt, which was sent at the process age age, or one received before that
-// was sent later. It adds the divisions that the peer left out as already sent. A batch and the receipt of another one may
-// overtake each other: an instance that had just taken a shard over seemed not to lead it any more, and its orders were
-// reassigned to the former leader.
+// mergeHeartbeat returns the newest heartbeat of the peer: hbt, sent at the peer's process age age, or one that was received before
+// but sent later. It adds the divisions that the peer left out as already acknowledged. A batch and the receipt of another one may
+// overtake each other: taken in the order of arrival, an instance that had just taken a shard over seemed not to lead it any more,
+// and its orders were reassigned to the former leader.
 func (per *peer) mergeHeartbeat(hbt Heartbeat, age time.Duration) Heartbeat {
 	if age > 0 && age < per.heartbeatAge {
 		return per.heartbeat
@@ -261,9 +266,9 @@
 	return hbt
 }
 
-// withoutKnown returns a heartbeat without the divisions that the peer has acknowledged in this session: with them idle instances
-// would send 32 KB a second to 15 others in place of 24.
-func (per *peer) withoutKnown(hbt Heartbeat) Heartbeat {
+// withoutAckedDivisions returns a heartbeat of this instance without its divisions if the peer has acknowledged the same in this
+// session: with them an idle instance would send 32 KB a second to 15 others, without them 24 KB.
+func (per *peer) withoutAckedDivisions(hbt Heartbeat) Heartbeat {
 	if per.established && maps.Equal(per.ackedDivisions, hbt.Divisions) {
 		hbt.Divisions = nil
 	}
--- a/internal/connection/mesh/types.go
+++ b/internal/connection/mesh/types.go
@@ -14,7 +14,7 @@
 	Load  shard.Load
 }
 
-// Heartbeat is the state that an instance sends of itself with each batch and receipt.
+// Heartbeat is what an instance sends about its own state with each batch and receipt.
 type Heartbeat struct {
 	Domain string
 	// Processor is the processor time that the instance may use, in cores.
@@ -26,12 +26,12 @@
 	// TokenRound is the highest round of fencing tokens that the instance has seen.
 	TokenRound  int64
 	Leaderships []Leadership
-	// Divisions is, by failure domain, into how many shards its backend servers are divided, as far as the instance knows.
+	// Divisions has, by failure domain, the division of its backend servers into shards, as far as the instance knows it.
 	Divisions map[string]shard.Division
 	// ClosedDomains is what the instance knows of closed failure domains.
 	ClosedDomains domainlist.View
-	// CompleteUpTo is the offset in the list of backend servers up to which the instance knows all servers that may be running,
-	// each with an entry; 0 if it isn't sure of that.
+	// CompleteUpTo is an offset in the list of backend servers, up to which the instance has read it and knows all servers that may be
+	// running, each with an entry; 0 if it isn't sure of that.
 	CompleteUpTo int64
 }
 
@@ -72,11 +72,12 @@
 type Handler interface {
 	// Heartbeat returns the current heartbeat of this instance.
 	Heartbeat() Heartbeat
-	// HandleBatch handles the newest heartbeat of an instance and the messages of a batch, in order; there are none with a
-	// receipt. The sender was alive at the time at, by this instance's clock.
+	// HandleBatch handles the newest heartbeat of an instance and the messages of a batch, in order. There are none with a receipt
+	// and with a batch that is stale or was accepted before. The time at is the latest, by this instance's clock, at which the
+	// sender is known to have been alive.
 	HandleBatch(from shard.InstanceID, at time.Time, hbt Heartbeat, msgs []Message)
-	// HandleStaleBatch is called when a batch with messages was rejected, as it was sent too long ago. The sender sends it again
-	// unless it has ended the session meanwhile.
+	// HandleStaleBatch is called when a batch with a number of messages was rejected, as it may have been sent as long as age ago. The
+	// sender sends it again unless it has ended the session meanwhile.
 	HandleStaleBatch(from shard.InstanceID, age time.Duration, messages int)
 	// HandleInstanceLost is called when the session with an instance has ended; no message of that session follows.
 	HandleInstanceLost(id shard.InstanceID, cause Cause)
@@ -87,15 +88,16 @@
 
 // The causes of a session's end.
 const (
-	// Silent peers were not heard for MissedHeartbeats intervals.
+	// Silent peers were not heard for Config.MissedHeartbeats of their heartbeat intervals.
 	Silent Cause = "not heard"
-	// Suspected peers were lost by another instance and did not answer this one.
+	// Suspected peers were reported lost by another instance and then did not answer this one within Config.CallTimeout.
 	Suspected Cause = "missed by another and no answer"
-	// Unreachable peers did not answer any of several calls in a row; such a loss is found well before a long heartbeat interval is over.
+	// Unreachable peers were called, and neither answered nor were heard, for longer than Config.MissedHeartbeats of the shortest
+	// intervals. This detects the loss of a peer with a long heartbeat interval well before Silent does.
 	Unreachable Cause = "no answer"
-	// Unacknowledged peers are heard but acknowledge no messages.
+	// Unacknowledged peers may be heard but did not acknowledge messages for Config.MissedHeartbeats of the shortest intervals.
 	Unacknowledged Cause = "no receipt"
-	// Refused peers have no process that listens at their address.
+	// Refused peers have no process that listens at their address, so the former one has ended.
 	Refused Cause = "connection refused"
 	// Reset sessions were ended by the peer, which has lost this instance or was restarted.
 	Reset Cause = "ended by the peer"
@@ -111,10 +113,10 @@
 
 // Schedule says how often two instances exchange heartbeats.
 type Schedule struct {
-	// Intervals is the time between heartbeats, in units of Config.HeartbeatInterval.
+	// Intervals is the time between heartbeats, in units of Config.HeartbeatInterval; 0 keeps the current one.
 	Intervals int
 	// OpenOrders says that one of the two has open orders of the other, so that a loss must be detected in time even by a process
-	// that is short of processor.
+	// that is short of processor time.
 	OpenOrders bool
 }
 
--- a/internal/connection/mesh/wire.go
+++ b/internal/connection/mesh/wire.go
@@ -17,23 +17,27 @@
 // maxMessage bounds a batch, in bytes; the largest batches carry configurations of a few hundred routes, some 100 KB.
 const maxMessage = 16 << 20
 
+// encode returns the epoch as batches and receipts have it.
 func (epo epoch) encode() *meshpb.Epoch {
 	return &meshpb.Epoch{Life: epo.incarnation, Generation: epo.generation}
 }
 
+// decodeEpoch returns the epoch in a batch or receipt; the zero epoch if it is missing.
 func decodeEpoch(msg *meshpb.Epoch) epoch {
 	return epoch{incarnation: msg.GetLife(), generation: msg.GetGeneration()}
 }
 
-// greetingOf returns the greeting in a batch or receipt.
-func greetingOf(msg interface {
+// sessionEpochsOf returns the epochs of the session that a batch or receipt belongs to.
+func sessionEpochsOf(msg interface {
 	GetOwn() *meshpb.Epoch
 	GetOther() *meshpb.Epoch
 },
-) greeting {
-	return greeting{from: decodeEpoch(msg.GetOwn()), to: decodeEpoch(msg.GetOther())}
+) sessionEpochs {
+	return sessionEpochs{from: decodeEpoch(msg.GetOwn()), to: decodeEpoch(msg.GetOther())}
 }
 
+// encodeHeartbeat returns a heartbeat as batches and receipts have it: processor time in thousandths of a core, times in microseconds,
+// and closed domains only if their list was read.
 func encodeHeartbeat(hbt Heartbeat) *meshpb.Beat {
 	msg := &meshpb.Beat{
 		Domain: hbt.Domain, Processor: int64(hbt.Processor * milli), Ready: hbt.Ready, Leaving: hbt.Leaving,
@@ -55,6 +59,7 @@
 	return msg
 }
 
+// decodeHeartbeat returns the heartbeat in a batch or receipt; an empty one if it has none.
 func decodeHeartbeat(msg *meshpb.Beat) Heartbeat {
 	hbt := Heartbeat{
 		Domain: msg.GetDomain(), Processor: float64(msg.GetProcessor()) / milli, Ready: msg.GetReady(),
@@ -83,6 +88,7 @@
 	return hbt
 }
 
+// encodeWaits returns the waiting time of each rank in microseconds.
 func encodeWaits(wts [shard.Ranks]time.Duration) []int64 {
 	nums := make([]int64, 0, len(wts))
 	for _, wat := range wts {
@@ -91,7 +97,7 @@
 	return nums
 }
 
-// appendMessage adds a message to a batch.
+// appendMessage adds a message to a batch that is sent at now.
 func appendMessage(dlv *meshpb.Delivery, now time.Time, msg Message) {
 	switch msg := msg.(type) {
 	case Order:
@@ -115,6 +121,8 @@
 	}
 }
 
+// encodeOrder returns an order as a batch has it, and adds its payload to the batch unless an equal one is there. Points in time are
+// sent relative to now, as the clocks of two instances may differ.
 func encodeOrder(dlv *meshpb.Delivery, now time.Time, msg Order) *meshpb.Order {
 	ord := &msg.Order
 	idx := slices.Index(dlv.Payloads, ord.Payload)
@@ -138,7 +146,8 @@
 	return wir
 }
 
-// decodeMessages returns the messages of a batch, except those of kinds that this version does not know.
+// decodeMessages returns the messages of a batch that was received at now from an instance, except those of kinds that this version
+// does not know.
 func decodeMessages(dlv *meshpb.Delivery, now time.Time, from shard.InstanceID) []Message {
 	msgs := make([]Message, 0, len(dlv.GetMessages()))
 	for _, wir := range dlv.GetMessages() {
@@ -170,6 +179,7 @@
 	return msgs
 }
 
+// decodeOrder returns an order with its payload from a batch that was received at now; from is its owner.
 func decodeOrder(wir *meshpb.Order, payload string, now time.Time, from shard.InstanceID) shard.Order {
 	ord := shard.Order{
 		Task: wir.GetTask(), Owner: from, Service: wir.GetService(), Payload: payload,
@@ -186,6 +196,7 @@
 	return ord
 }
 
+// milli is the number of units of processor time on the wire in one core.
 const milli = 1000
 
 func micros(num int64) time.Duration { return time.Duration(num) * time.Microsecond }
--- a/internal/connection/rpc/codec.go
+++ b/internal/connection/rpc/codec.go
@@ -12,6 +12,8 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
+// The length before each message is a varint of up to five bytes with seven bits each, the low ones first; continuationBit is set in
+// all bytes but the last.
 const (
 	continuationBit = 0x80
 	maxLengthBytes  = 5
@@ -42,7 +44,7 @@
 		return
 	}
 	rpc := &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this end of the connection handles no requests"}
-	_ = con.ReplyWithError(ctx, req.ID, rpc) // An error means that the connection is closed, and no one is left to tell.
+	_ = con.ReplyWithError(ctx, req.ID, rpc) // An error means that the connection is closed, so the peer can't be answered.
 }
 
 // BoundedCodec is the varint framing of jsonrpc2.VarintObjectCodec with a bound on the size of a message. jsonrpc2 itself reads
@@ -94,8 +96,8 @@
 	return uns.UnmarshalJSON(data)
 }
 
-// PeekLength returns the length in bytes that the next frame announces, and consumes nothing. It asks for one more byte at a
-// time: a short message may be all that the peer sends for a long while.
+// PeekLength returns the length in bytes of the next message, as the varint before it announces, and consumes nothing. It asks for one
+// more byte at a time: it would block for a fixed number if the peer sends only a short message for a long while.
 func PeekLength(stream *bufio.Reader) (int, error) {
 	length := 0
 	for cnt := 1; cnt <= maxLengthBytes; cnt++ {
--- a/internal/connection/rpc/conn.go
+++ b/internal/connection/rpc/conn.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Stats are the counters of one end of the transport since its start.
+// Stats are the bytes read and written by one end of the transport, and the calls counted by CountCall, since its start.
 type Stats struct {
 	BytesIn  uint64
 	BytesOut uint64
@@ -20,7 +20,7 @@
 	calls atomic.Uint64
 }
 
-// CountCall counts one call.
+// CountCall counts one call. Whoever makes a call, or opens a connection that counts as one, calls it; a Conn counts only bytes.
 func (cnt *Counters) CountCall() { cnt.calls.Add(1) }
 
 // Stats returns the bytes and calls so far.
@@ -71,7 +71,7 @@
 	return num, err
 }
 
-// ReceivedSince reports whether the peer sent anything after a time.
+// ReceivedSince reports whether anything that the peer sent was read after a time.
 func (wcn *Conn) ReceivedSince(tim time.Time) bool {
 	return wcn.lastRead.Load() > int64(tim.Sub(wcn.start))
 }
