--- a/internal/connection/mesh/session.go
+++ b/internal/connection/mesh/session.go
@@ -170,7 +170,7 @@
 	per.established = false
 	per.ownEpoch.generation++
 	per.interval = min(per.interval, maxLostPeerInterval)
-	per.clearSession()
+	per.clear()
 	return former, true
 }
 
@@ -193,8 +193,8 @@
 	})
 }
 
-// clearSession drops the messages and the state of a session; it adds the bytes of their payloads to droppedBytes.
-func (per *peer) clearSession() {
+// clear drops the messages and the state of a session; it adds the bytes of their payloads to droppedBytes.
+func (per *peer) clear() {
 	per.sentSequence, per.receivedSequence = 0, 0
 	per.outbox, per.inFlight, per.numbered = nil, nil, false
 	per.droppedBytes += per.outboxBytes + per.inFlightBytes
@@ -229,7 +229,7 @@
 			per.peerAge, per.heartbeatAge = 0, 0
 		}
 		per.peerEpoch = eps.from
-		per.clearSession()
+		per.clear()
 	}
 	if eps.to != per.ownEpoch {
 		return false, former, ended
