--- a/internal/connection/mesh/mesh_test.go
+++ b/internal/connection/mesh/mesh_test.go
@@ -130,8 +130,8 @@
 	delete(nod.heard, id)
 }
 
-// seen returns the tasks of the cancellations received, the number of losses told, and whether another instance was heard since the
-// last one.
+// seen returns the tasks of the cancellations received, the number of losses that the Handler was told of, and whether
+// another instance was heard since its last loss.
 func (nod *node) seen() (got []string, lost int, hears bool) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
--- a/internal/connection/mesh/send.go
+++ b/internal/connection/mesh/send.go
@@ -150,7 +150,7 @@
 	return per.ackTimes.Timeout(msh.cfg.CallTimeout, time.Duration(msh.cfg.MissedHeartbeats)*msh.cfg.HeartbeatInterval)
 }
 
-// noteAckTime notes how long a receipt took or, after a failed call, how long was waited for it.
+// noteAckTime notes how long a receipt took or, after a failed call, how long the call lasted.
 func (msh *Mesh) noteAckTime(per *peer, dur time.Duration) {
 	msh.mu.Lock()
 	defer msh.mu.Unlock()
--- a/internal/connection/mesh/types.go
+++ b/internal/connection/mesh/types.go
@@ -30,8 +30,8 @@
 	Divisions map[string]shard.Division
 	// ClosedDomains is what the instance knows of closed failure domains.
 	ClosedDomains domainlist.View
-	// CompleteUpTo is an offset in the list of backend servers, up to which the instance has read it and knows all servers that may be
-	// running, each with an entry; 0 if it isn't sure of that.
+	// CompleteUpTo is the offset in the list of backend servers up to which the instance knows all servers that may be running,
+	// each with an entry; 0 if it isn't sure of that.
 	CompleteUpTo int64
 }
 
