--- a/internal/connection/mesh/send.go
+++ b/internal/connection/mesh/send.go
@@ -227,7 +227,8 @@
 		msh.noteHeard(per, now, began)
 	}
 	if current && len(per.inFlight) > 0 {
-		signal(per.wake) // The peer rejected the batch as stale, by the peer age that it carried; send it again.
+		// The peer rejected the batch as stale, or the messages were left out as the peer's process age was outdated; send them now.
+		signal(per.wake)
 	}
 	msh.subtractDropped(per)
 	id, heardAt := per.id(), per.heardAt
