--- a/internal/process/daemon/random_deployments_test.go
+++ b/internal/process/daemon/random_deployments_test.go
@@ -34,7 +34,7 @@
 	dpl.linkBytes = []int{0, 0, 3_000_000, 1_000_000}[rnd.IntN(4)]
 	var work, bytes float64
 	for range 2 + rnd.IntN(3) {
-		job := jobSpec{tasks: 1 << rnd.IntN(7), patience: 8 * time.Second, payload: payload{
+		job := jobSpec{tasks: 1 << rnd.IntN(7), callerTimeout: 8 * time.Second, payload: payload{
 			Millis: 5 << rnd.IntN(9), Needs: 1000 * (1 + rnd.Int64N(30)), Pad: strings.Repeat("x", 40<<rnd.IntN(7)),
 		}}
 		if rnd.IntN(8) == 0 {
@@ -76,9 +76,9 @@
 // runDeployment sends the jobs of a deployment for 6 s, in which one instance loses power and starts again, and checks their outcomes.
 func runDeployment(sys *system, rnd *rand.Rand, dpl deployment) {
 	const (
-		lasts = 6 * time.Second
-		lost  = 2 * time.Second
-		back  = 3 * time.Second
+		lasts       = 6 * time.Second
+		lost        = 2 * time.Second
+		returnAfter = 3 * time.Second
 	)
 	victim := sys.instanceNames()[rnd.IntN(len(sys.instanceNames()))]
 	var all []*sentJob
@@ -89,7 +89,7 @@
 		case !down && time.Since(began) > lost:
 			sys.powerOff(victim)
 			down = true
-		case !up && time.Since(began) > back:
+		case !up && time.Since(began) > returnAfter:
 			sys.startInstance(victim, sys.instances[victim].domain)
 			up = true
 		}
--- a/internal/process/daemon/random_test.go
+++ b/internal/process/daemon/random_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// TestRandomTroubles guards against tasks that run twice at once, overfull servers, refused jobs that have started, and jobs that aren't served
+// TestRandomFaults guards against tasks that run twice at once, overfull servers, refused jobs that have started, and jobs that aren't served
 // after the last fault, when the faults of injectRandomFault overlap in random order.
-func TestRandomTroubles(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	seeds := []uint64{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}
 	// An instance starts again while the store is down, and others must not send reports for it to its former address until its callers'
 	// deadlines; in 25 of 150 runs of this seed they did.
@@ -31,7 +31,7 @@
 			for range 1 + rnd.IntN(3) {
 				job := jobSpec{
 					id: jobID(len(all) + 1), tasks: 1 + rnd.IntN(6), path: []string{"/thumb/", "/deck/"}[rnd.IntN(2)],
-					payload: payload{Millis: 50 + rnd.IntN(800)}, patience: 3 * time.Second,
+					payload: payload{Millis: 50 + rnd.IntN(800)}, callerTimeout: 3 * time.Second,
 				}
 				snt := sys.sendAsync(sys.ctx, sys.randomInstance(rnd), job)
 				ids[snt] = job.id
--- a/internal/process/succession/explore_server_test.go
+++ b/internal/process/succession/explore_server_test.go
@@ -15,7 +15,9 @@
 	id     shard.ServerID
 	domain string
 	// clockRate is the speed of the server's clock relative to true time.
-	clockRate  float64
+	clockRate float64
+	// token is the highest token seen, lease until when the runs may go on by the server's clock; highestRun has the highest run number of each
+	// task; ended are the ends that no renewal has acknowledged, endSeq the number of the last; waiting are the renewals that wait for an end.
 	token      int64
 	lease      time.Duration
 	running    map[string]*fakeRun
@@ -124,13 +126,13 @@
 
 // renewResult returns the runs and the ends that the server lists.
 func (srv *fakeServer) renewResult() shard.RenewResult {
-	lok := shard.RenewResult{Clock: srv.clock(), Ended: slices.Clone(srv.ended)}
+	res := shard.RenewResult{Clock: srv.clock(), Ended: slices.Clone(srv.ended)}
 	for _, task := range sortedKeys(srv.running) {
 		rn := srv.running[task]
 		pct := int(min(99, srv.sim.now.Sub(rn.began)*100/max(rn.runTime, 1)))
-		lok.Running = append(lok.Running, shard.Progress{Run: rn.id, Percent: pct})
+		res.Running = append(res.Running, shard.Progress{Run: rn.id, Percent: pct})
 	}
-	return lok
+	return res
 }
 
 // extendLease extends the lease of all runs, to at most a second from now by the server's clock; it never shortens the lease.
--- a/internal/request/dispatch/property_test.go
+++ b/internal/request/dispatch/property_test.go
@@ -13,23 +13,23 @@
 	"chestnutstack/internal/request/verdict"
 )
 
-// ledger is a Limits of at most most units; all of them must have been released at the end.
-type ledger struct {
-	most  int
-	taken int
-	worst int
+// boundedLimits is a Limits that has at most units units taken at once; all of them must be released at the end.
+type boundedLimits struct {
+	units    int
+	taken    int
+	maxTaken int
 }
 
-func (led *ledger) Take(time.Time, *job.Class, string) bool {
-	if led.taken >= led.most {
+func (lim *boundedLimits) Take(time.Time, *job.Class, string) bool {
+	if lim.taken >= lim.units {
 		return false
 	}
-	led.taken++
-	led.worst = max(led.worst, led.taken)
+	lim.taken++
+	lim.maxTaken = max(lim.maxTaken, lim.taken)
 	return true
 }
 
-func (led *ledger) Release(time.Time, *job.Class, string) { led.taken-- }
+func (lim *boundedLimits) Release(time.Time, *job.Class, string) { lim.taken-- }
 
 var tiny = shape{
 	name: "tiny", domains: 2, entries: 3, servers: 6, slots: 3, perRack: 2,
@@ -46,6 +46,8 @@
 	bySub  map[job.SubmissionID]*randomJob
 }
 
+// randomJob is a random job with its run times, and what came of it: refused is the refusal by Submit, ends how
+// often it was reported as ended.
 type randomJob struct {
 	jb      *job.Job
 	ent     *simEntry
@@ -56,6 +58,7 @@
 	endedAt time.Time
 }
 
+// faults holds the faults by name; each takes the server and the entry that it affects, and most end by themselves.
 var faults = map[string]func(rcl *randomCluster, srv *simServer, ent *simEntry){
 	"silent connection": func(_ *randomCluster, srv *simServer, ent *simEntry) {
 		if ses := ent.sessions[srv.id]; ses != nil {
@@ -122,10 +125,11 @@
 	})
 }
 
+// newRandomCluster draws the jobs and the faults, and schedules them.
 func newRandomCluster(tst *rapid.T) *randomCluster {
-	led := &ledger{most: rapid.IntRange(1, 20).Draw(tst, "limit")}
+	lim := &boundedLimits{units: rapid.IntRange(1, 20).Draw(tst, "limit")}
 	rcl := &randomCluster{
-		cluster: newClusterWith(tiny, dispatch.DefaultConfig(), led, rapid.Uint64().Draw(tst, "seed")),
+		cluster: newClusterWith(tiny, dispatch.DefaultConfig(), lim, rapid.Uint64().Draw(tst, "seed")),
 		tst:     tst, bySub: map[job.SubmissionID]*randomJob{},
 	}
 	rcl.runTime = func(tid job.TaskID) (time.Duration, bool) {
@@ -150,6 +154,7 @@
 	return rcl
 }
 
+// faultNames returns the sorted names of the faults.
 func faultNames() []string {
 	var names []string
 	for name := range faults {
@@ -159,10 +164,12 @@
 	return names
 }
 
+// millis draws a duration from low to high milliseconds.
 func millis(tst *rapid.T, name string, low, high int) time.Duration {
 	return time.Duration(rapid.IntRange(low, high).Draw(tst, name)) * time.Millisecond
 }
 
+// addJob draws a job and schedules its submission, and for one in five a cancellation.
 func (rcl *randomCluster) addJob(num int) {
 	rjb := &randomJob{fails: rapid.IntRange(0, 9).Draw(rcl.tst, "fails") == 0}
 	for range rapid.IntRange(0, 12).Draw(rcl.tst, "tasks") {
@@ -192,6 +199,7 @@
 	}
 }
 
+// check checks all jobs of live entries, and that no slot, unit of a limit or job is left over.
 func (rcl *randomCluster) check() {
 	tst := rcl.tst
 	if rcl.doubleStarts > 0 {
@@ -215,12 +223,13 @@
 			tst.Fatalf("%s has %d of %d slots free at the end", srv.id, srv.free, srv.slots)
 		}
 	}
-	led := rcl.lim.(*ledger)
-	if alive && led.taken != 0 || led.worst > led.most {
-		tst.Fatalf("limit of %d: %d units taken at most, %d not released", led.most, led.worst, led.taken)
+	lim := rcl.lim.(*boundedLimits)
+	if alive && lim.taken != 0 || lim.maxTaken > lim.units {
+		tst.Fatalf("limit of %d: %d units taken at most, %d not released", lim.units, lim.maxTaken, lim.taken)
 	}
 }
 
+// checkJob checks that a job ended once, and that its verdict agrees with what its tasks did.
 func (rcl *randomCluster) checkJob(rjb *randomJob) {
 	tst, sub := rcl.tst, rjb.jb.Spec().Submission
 	if rjb.refused != nil {
@@ -250,6 +259,7 @@
 	}
 }
 
+// started returns how often tasks of the job were started on servers.
 func (rcl *randomCluster) started(rjb *randomJob) int {
 	num := 0
 	for idx := range rjb.jb.TaskCount() {
--- a/internal/request/slot/pool_test.go
+++ b/internal/request/slot/pool_test.go
@@ -43,6 +43,7 @@
 	iss.Equal(bare.Width(job.Needs{Accelerators: 1}), uint32(0)) // no accelerator is none
 }
 
+// newPool returns a pool of open backend servers assigned to this instance, every other one in its failure domain.
 func newPool(num int, slots uint32) (*slot.Pool, []*slot.Server) {
 	pol := slot.New(rand.New(rand.NewPCG(1, 2)))
 	var servers []*slot.Server
@@ -59,18 +60,19 @@
 
 // Guards against slots that are lost or given out twice: after any sequence of events the totals and buckets must
 // agree with the accounts of the servers.
-func TestBooksBalance(tst *testing.T) {
+func TestTotalsMatchServerAccounts(tst *testing.T) {
 	rapid.Check(tst, func(tst *rapid.T) {
 		pol, servers := newPool(4, 6)
 		clk := now
 		for range rapid.IntRange(1, 60).Draw(tst, "steps") {
 			clk = clk.Add(time.Duration(rapid.IntRange(0, 400).Draw(tst, "ms")) * time.Millisecond)
 			step(tst, pol, rapid.SampledFrom(servers).Draw(tst, "server"), clk)
-			checkBooks(tst, pol, servers)
+			checkTotals(tst, pol, servers)
 		}
 	})
 }
 
+// step draws an event and applies it to the pool.
 func step(tst *rapid.T, pol *slot.Pool, srv *slot.Server, clk time.Time) {
 	num := uint32(rapid.IntRange(1, 8).Draw(tst, "number"))
 	until := clk.Add(time.Second)
@@ -103,7 +105,8 @@
 	}
 }
 
-func checkBooks(tst *rapid.T, pol *slot.Pool, servers []*slot.Server) {
+// checkTotals checks the totals of the pool and Pick against the accounts of the servers.
+func checkTotals(tst *rapid.T, pol *slot.Pool, servers []*slot.Server) {
 	var free, used, lent uint32
 	for _, srv := range servers {
 		free += srv.Free()
