--- a/internal/process/daemon/heard.go
+++ b/internal/process/daemon/heard.go
@@ -10,7 +10,7 @@
 	"chestnutstack/internal/request/submission"
 )
 
-// Beat implements mesh.Handler: it returns the content of this instance's next heartbeat.
+// Heartbeat implements mesh.Handler: it returns the content of this instance's next heartbeat.
 func (dmn *Daemon) Heartbeat() mesh.Heartbeat {
 	dmn.mu.Lock()
 	defer dmn.mu.Unlock()
@@ -30,7 +30,7 @@
 	return bet
 }
 
-// Heard implements mesh.Handler: it processes a heartbeat and the messages of an instance that was alive at a time, by the own clock.
+// HandleBatch implements mesh.Handler: it processes a heartbeat and the messages of an instance that was alive at a time, by the own clock.
 func (dmn *Daemon) HandleBatch(from shard.InstanceID, at time.Time, bet mesh.Heartbeat, msgs []mesh.Message) {
 	now := dmn.beginEvent()
 	defer dmn.endEvent(now)
@@ -151,13 +151,13 @@
 	dmn.runCoordinatorActions(dmn.coordinator.HandleReport(now, dmn.self, rep))
 }
 
-// Late implements mesh.Handler: it logs and counts a batch that was rejected because of its age.
+// HandleStaleBatch implements mesh.Handler: it logs and counts a batch that was rejected because of its age.
 func (dmn *Daemon) HandleStaleBatch(from shard.InstanceID, age time.Duration, messages int) {
 	dmn.cnt.lateBatches.Add(1)
 	dmn.log.Warn().Str("peer", string(from)).Dur("age", age).Int("messages", messages).Msg("batch comes too late")
 }
 
-// Lost implements mesh.Handler: it passes the loss of an instance to all decision types.
+// HandleInstanceLost implements mesh.Handler: it passes the loss of an instance to all decision types.
 func (dmn *Daemon) HandleInstanceLost(id shard.InstanceID, cau mesh.Cause) {
 	now := dmn.beginEvent()
 	defer dmn.endEvent(now)
--- a/internal/process/daemon/reach.go
+++ b/internal/process/daemon/reach.go
@@ -53,8 +53,8 @@
 	}
 	if rch.HandleProbeAnswer(now, asked) {
 		lin.Stringer("verdict", clr).Msg("shard of another failure domain has no leader and is in reach")
-		// Calls the domain's unheard instances at once: if one leads the shard, it is heard before the shard is taken over. NudgeIf always calls
-		// the instances that aren't heard; no other needs a call.
+		// Calls the domain's unheard instances at once: if one leads the shard, it is heard before the shard is taken over.
+		// SendHeartbeatsIf always calls the instances that aren't heard; no other needs a call.
 		dmn.mesh.SendHeartbeatsIf(func(shard.InstanceID) bool { return false })
 	}
 	return nil
