--- a/internal/process/daemon/list.go
+++ b/internal/process/daemon/list.go
@@ -180,7 +180,7 @@
 	dmn.endEvent(now)
 	for idx := range digs {
 		if err := dmn.publishDigest(ctx, &digs[idx]); err != nil {
-			dmn.log.Warn().Err(err).Msg("digest of the list of servers was not written; retrying after the next read")
+			dmn.log.Warn().Err(err).Msg("digest of the list of servers is not written; retrying after the next read")
 			return
 		}
 		dmn.mu.Lock()
