--- a/internal/connection/mesh/mesh.go
+++ b/internal/connection/mesh/mesh.go
@@ -31,7 +31,7 @@
 	mu    sync.Mutex
 	peers map[string]*peer
 	group *errgroup.Group
-	ctx   context.Context //nolint:containedctx // set by Run, used for peers that are added later
+	ctx   context.Context //nolint:containedctx // set by Run for the peers that are added later
 }
 
 // New returns a mesh without peers; it connects and accepts connections only while Run runs.
